--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -28,7 +28,7 @@
 from tansykeel.settings.cluster import bounds_of, comparing_of, pace_of
 from tansykeel.settings.records import AccordOf
 
-LOOKS_EVERY = 0.2  # seconds
+UPDATE_INTERVAL_S = 0.2  # seconds
 STRETCH = 10_000  # tenths: figures are of as long
 KEPT = 3  # stretches whose figures are waited for
 Reply = Callable[[MaintenanceMessage], None]
@@ -66,7 +66,7 @@
         self.led = False
 
     def look(self) -> None:
-        """To be called every LOOKS_EVERY."""
+        """To be called every UPDATE_INTERVAL_S."""
         now, book = clock(), self.cluster_member.replicated_log
         assert book is not None
         if book.leads is not self.led:
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -19,7 +19,7 @@
 from tansykeel.edge.control_session import ClaimObserver, ControlSession, control_session_of
 from tansykeel.edge.core import Core
 from tansykeel.edge.listing import Listing
-from tansykeel.edge.maintenance import LOOKS_EVERY, MaintenanceAgent
+from tansykeel.edge.maintenance import UPDATE_INTERVAL_S, MaintenanceAgent
 from tansykeel.edge.native import Native, answer_of, bounds_of, known_of
 from tansykeel.edge.peers import Peers
 from tansykeel.edge.stores import Stores
@@ -363,7 +363,7 @@
 
     async def _look(self) -> None:
         while self.maintenance_agent:
-            await asyncio.sleep(LOOKS_EVERY)
+            await asyncio.sleep(UPDATE_INTERVAL_S)
             self.maintenance_agent.look()
 
     async def _wait_for(self, done: Callable[[], bool], seconds: float) -> None:
