--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -65,7 +65,7 @@
         self.figures: dict[int, dict[str, dict[str, Seen]]] = {}  # by stretch, gateway, class
         self.led = False
 
-    def look(self) -> None:
+    def update(self) -> None:
         """To be called every UPDATE_INTERVAL_S."""
         now, book = clock(), self.cluster_member.replicated_log
         assert book is not None
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -364,7 +364,7 @@
     async def _look(self) -> None:
         while self.maintenance_agent:
             await asyncio.sleep(UPDATE_INTERVAL_S)
-            self.maintenance_agent.look()
+            self.maintenance_agent.update()
 
     async def _wait_for(self, done: Callable[[], bool], seconds: float) -> None:
         end = asyncio.get_running_loop().time() + seconds
