--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -84,7 +84,7 @@
             self._answer(now, name, since, reply)
 
     def heard(self, word: MaintenanceMessage, reply: Reply) -> None:
-        """An agent or an operator says something; what gateways say comes by `told_by`."""
+        """An agent or an operator says something; what gateways say comes by `figures_received`."""
         now, book = clock(), self.cluster_member.replicated_log
         assert book is not None
         match word:
@@ -117,7 +117,7 @@
                 self.sent(sent)
                 reply(Taken(added))
 
-    def told_by(self, gateway: str, word: Figures) -> None:
+    def figures_received(self, gateway: str, word: Figures) -> None:
         self.figures.setdefault(word.stretch, {})[gateway] = word.by_class
 
     # Within
@@ -170,7 +170,7 @@
         assert book is not None
         word = Figures(self.stretch - 1, {name: seen for name, seen in last.items() if seen.tasks})
         if book.leads:
-            self.told_by(self.cluster_member.me.name, word)
+            self.figures_received(self.cluster_member.me.name, word)
         elif book.leader:
             self.tell(book.leader, word)
         for stretch in [stretch for stretch in self.figures if stretch <= self.stretch - KEPT]:
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -334,7 +334,7 @@
             raise ProtocolError(f"ACCORD: {error}") from None
         if isinstance(word, Figures):
             if link.peer and link.peer.role != "client":
-                self.maintenance_agent.told_by(link.peer.name, word)
+                self.maintenance_agent.figures_received(link.peer.name, word)
             return
         self.maintenance_agent.heard(
             word, lambda answer: None if link.lost else link.send(stream, AccordTold(*CODEC.encode(answer)))
