--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -83,7 +83,7 @@
         for name, (since, reply) in list(self.pending.items()):
             self._answer(now, name, since, reply)
 
-    def heard(self, word: MaintenanceMessage, reply: Reply) -> None:
+    def received(self, word: MaintenanceMessage, reply: Reply) -> None:
         """An agent or an operator says something; what gateways say comes by `figures_received`."""
         now, book = clock(), self.cluster_member.replicated_log
         assert book is not None
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -336,7 +336,7 @@
             if link.peer and link.peer.role != "client":
                 self.maintenance_agent.figures_received(link.peer.name, word)
             return
-        self.maintenance_agent.heard(
+        self.maintenance_agent.received(
             word, lambda answer: None if link.lost else link.send(stream, AccordTold(*CODEC.encode(answer)))
         )
 
