--- a/tansykeel/edge/cluster_agent.py
+++ b/tansykeel/edge/cluster_agent.py
@@ -18,7 +18,7 @@
 from tansykeel.settings.cluster import cluster_member_of
 from tansykeel.settings.records import PeersOf
 
-Counted = Callable[[int, str, int, int, Fraction, int], None]  # at, who, life, view, part, until; microseconds
+PartObserver = Callable[[int, str, int, int, Fraction, int], None]  # at, who, life, view, part, until; microseconds
 
 
 class ClusterAgent:
@@ -34,7 +34,7 @@
         peers: Peers,
         log: Any,
         wall_ms: Callable[[], int],
-        counted: Counted | None = None,
+        counted: PartObserver | None = None,
         machine: StateMachine | None = None,
     ) -> None:
         self.names, self.peers, self.log, self.wall_ms, self.counted = names, peers, log, wall_ms, counted
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -15,7 +15,7 @@
 from tansykeel.cluster.member import MemberStillAlive
 from tansykeel.cluster.send_queue import Urgency
 from tansykeel.edge.clock import Reminder, clock
-from tansykeel.edge.cluster_agent import ClusterAgent, Counted
+from tansykeel.edge.cluster_agent import ClusterAgent, PartObserver
 from tansykeel.edge.control_session import ClaimObserver, ControlSession, control_session_of
 from tansykeel.edge.core import Core
 from tansykeel.edge.listing import Listing
@@ -64,7 +64,7 @@
         trace: Trace | None = None,
         sample: int = 100,
         decide: Callable[..., Decisions] = Scheduler,
-        counted: Counted | None = None,
+        counted: PartObserver | None = None,
         claimed: ClaimObserver | None = None,
     ) -> None:
         self.settings, self.gateway = settings, settings.gateway
