--- a/tansykeel/edge/cluster_agent.py
+++ b/tansykeel/edge/cluster_agent.py
@@ -59,7 +59,7 @@
     def start(self) -> None:
         self._done(clock(), [])
 
-    def say(self, sent: list[tuple[str, ClusterMessage]]) -> None:
+    def send(self, sent: list[tuple[str, ClusterMessage]]) -> None:
         """Send what the cluster member wants said beside its own steps."""
         self._done(clock(), sent)
 
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -135,7 +135,7 @@
                 dict(zip(settings.names(), settings.peers.addresses, strict=True)),
                 self.served,
                 self._tell_gateway,
-                lambda sent: self.cluster_agent.say(sent) if self.cluster_agent else None,
+                lambda sent: self.cluster_agent.send(sent) if self.cluster_agent else None,
                 self.log,
             )
         self.stores = Stores(self.core, self.hub, self.gateway, self.hello, clock)
