--- a/tansykeel/edge/cluster_agent.py
+++ b/tansykeel/edge/cluster_agent.py
@@ -69,7 +69,7 @@
     def end(self) -> None:
         self.ended = True
 
-    def heard(self, hello: Hello, watch: Watch) -> None:
+    def received(self, hello: Hello, watch: Watch) -> None:
         """A word of the gateway that said this hello. Raises ProtocolError for one that is none."""
         if not self.ended and (received := self.connections.received(hello, watch)) is not None:
             now = clock()
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -310,7 +310,7 @@
                     self.core.heard(clock(), word.sender, told)
             case Watch():
                 if self.cluster_agent and link.peer:
-                    self.cluster_agent.heard(link.peer, word)
+                    self.cluster_agent.received(link.peer, word)
             case Accord():
                 self._maintenance_message(link, 0, word)
             case Goodbye():
