--- a/tansykeel/edge/cluster_agent.py
+++ b/tansykeel/edge/cluster_agent.py
@@ -75,7 +75,7 @@
             now = clock()
             self._done(now, self.cluster_member.heard(now, *received))
 
-    def told_of(self) -> FleetTold:
+    def status(self) -> FleetTold:
         """What this gateway believes, for an operator."""
         now = clock()
         return self.connections.status(now, float(self.cluster_member.agreement.part(now)))
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -300,7 +300,7 @@
                     except MemberStillAlive as error:
                         raise ProtocolError(f"FLEET_WITHOUT: {error}; {error.do}") from None
                     self.log.info("goes without", names=list(told.names))
-                link.send(event.stream, self.cluster_agent.told_of())
+                link.send(event.stream, self.cluster_agent.status())
 
     def _peer_message(self, link: Link, word: Any) -> None:
         """Another gateway says something, on whichever connection there is."""
