--- a/tansykeel/edge/cluster_agent.py
+++ b/tansykeel/edge/cluster_agent.py
@@ -66,7 +66,7 @@
     def leave(self) -> None:
         self._done(clock(), self.cluster_member.leave(clock()))
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.ended = True
 
     def received(self, hello: Hello, watch: Watch) -> None:
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -189,7 +189,7 @@
         if self.listing:
             self.listing.end()
         if self.cluster_agent:
-            self.cluster_agent.end()
+            self.cluster_agent.stop()
         if self.peers:
             self.peers.end()
         if session := self.control_session:
