--- a/tansykeel/edge/peers.py
+++ b/tansykeel/edge/peers.py
@@ -49,7 +49,7 @@
     def state(self) -> str:
         return "up" if self._up() else "opening" if self.opening else "none"
 
-    def came(self, link: Link) -> None:
+    def accept(self, link: Link) -> None:
         """It opened a connection to this gateway."""
         mine = self.link if self._up() else None
         at_once = asyncio.get_running_loop().time() < self.tried + AT_ONCE
@@ -140,10 +140,10 @@
         for other in self.others.values() if peer is None else filter(None, [self.others.get(peer)]):
             other.tell(urgency, record)
 
-    def came(self, link: Link, hello: Hello) -> None:
+    def accept(self, link: Link, hello: Hello) -> None:
         if (other := self.by_name.get(hello.name)) is not None:
             self._greet(link)
-            other.came(link)
+            other.accept(link)
 
     def link(self, sock: Any) -> Link:
         link = Link(self.hub, sock, Codec(self.answered_by), self.hello, self._event, lambda link, why: None)
