--- a/tansykeel/control_plane/node_connections.py
+++ b/tansykeel/control_plane/node_connections.py
@@ -30,7 +30,7 @@
                 f"HELLO: control node {hello.name!r} is no other one of region {self.own.region!r} here; "
                 f"legal: {', '.join(peers.by_name) or 'none'}"
             )
-        peers.came(link, hello)
+        peers.accept(link, hello)
 
     def received(self, link: Link, record: Fields) -> Received | None:
         """Return the message that a record carries and who sent it, None for one that carries none.
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -281,7 +281,7 @@
                 self.core.left(clock(), link, event.stream)
             case Hello() as hello:
                 if self.peers and hello.role == "peer":
-                    self.peers.came(link, hello)
+                    self.peers.accept(link, hello)
             case Share() | Watch() as word:
                 self._peer_message(link, word)
             case Cut():
