--- a/tansykeel/edge/cluster_connections.py
+++ b/tansykeel/edge/cluster_connections.py
@@ -30,7 +30,7 @@
 
     def send(self, name: str, message: ClusterMessage) -> None:
         """Send a message to the member of this name, as soon as there is a connection and room for it."""
-        self.peers.by_name[name].tell(urgency_of(message), Watch(*CODEC.encode(message)))
+        self.peers.by_name[name].send(urgency_of(message), Watch(*CODEC.encode(message)))
 
     def received(self, hello: Hello, watch: Watch) -> tuple[Member, ClusterMessage] | None:
         """Return a message and its sender; None where the hello is of no other member.
--- a/tansykeel/edge/peers.py
+++ b/tansykeel/edge/peers.py
@@ -42,7 +42,7 @@
         self.tried = 0.0
         self.send_queue = SendQueue(BOUNDS)
 
-    def tell(self, urgency: Urgency, record: Fields) -> None:
+    def send(self, urgency: Urgency, record: Fields) -> None:
         self.send_queue.put(clock(), urgency, record)
         self._pump()
 
@@ -136,9 +136,9 @@
         self.others = {number: Peer(self, number, address) for number, address in enumerate(addresses) if number != me}
         self.by_name = {name: self.others[number] for number, name in enumerate(names) if number != me}
 
-    def tell(self, peer: int | None, urgency: Urgency, record: Fields) -> None:
+    def send(self, peer: int | None, urgency: Urgency, record: Fields) -> None:
         for other in self.others.values() if peer is None else filter(None, [self.others.get(peer)]):
-            other.tell(urgency, record)
+            other.send(urgency, record)
 
     def accept(self, link: Link, hello: Hello) -> None:
         if (other := self.by_name.get(hello.name)) is not None:
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -247,7 +247,7 @@
 
     def tell_peer(self, peer: int | None, word: Word) -> None:
         if self.peers:
-            self.peers.tell(peer, Urgency.HINT, self.native.share_of(word))
+            self.peers.send(peer, Urgency.HINT, self.native.share_of(word))
 
     def note(self, event: str, **fields: Any) -> None:
         self.log.info(event, **fields)
@@ -342,7 +342,7 @@
 
     def _tell_gateway(self, name: str, word: MaintenanceMessage) -> None:
         if self.peers and name in self.peers.by_name:
-            self.peers.by_name[name].tell(Urgency.HINT, Accord(*CODEC.encode(word)))
+            self.peers.by_name[name].send(Urgency.HINT, Accord(*CODEC.encode(word)))
 
     def _gone(self, link: Link, why: str) -> None:
         self.clients.discard(link)
