--- a/tansykeel/control_plane/program.py
+++ b/tansykeel/control_plane/program.py
@@ -209,7 +209,7 @@
             self.agent.leave()
         await asyncio.sleep(LINGER_SECONDS)
         self.agent.end()
-        self.peers.end()
+        self.peers.close()
         for link in list(self.hub.links):
             link.close()
         end = asyncio.get_running_loop().time() + STOP_SECONDS
--- a/tansykeel/edge/peers.py
+++ b/tansykeel/edge/peers.py
@@ -67,7 +67,7 @@
             self.link.abort(why)
         self.link = None
 
-    def end(self) -> None:
+    def close(self) -> None:
         if self.opening:
             self.opening.cancel()
         if self.pumping:
@@ -150,9 +150,9 @@
         self._greet(link)
         return link
 
-    def end(self) -> None:
+    def close(self) -> None:
         for other in self.others.values():
-            other.end()
+            other.close()
 
     def _greet(self, link: Link) -> None:
         if self.greeting is not None:
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -191,7 +191,7 @@
         if self.cluster_agent:
             self.cluster_agent.stop()
         if self.peers:
-            self.peers.end()
+            self.peers.close()
         if session := self.control_session:
             await self._wait_for(lambda: session.ended, CLOSES)
         await self.hub.stop()
