--- a/tansykeel/control_plane/program.py
+++ b/tansykeel/control_plane/program.py
@@ -88,7 +88,7 @@
             self.hello,
             control_of(settings).connect_timeout_ms / 1000,
             self._from_node,
-            answered_by="control",
+            listener_role="control",
             greeting=own,
         )
         members = ClusterConnections(node.member, peers, self.log)
--- a/tansykeel/edge/peers.py
+++ b/tansykeel/edge/peers.py
@@ -116,7 +116,7 @@
     """All others of a kind, by number. `on_word(link, record)` for what they say on connections that were opened here.
 
     `hello` is said on connections that are opened here, and `greeting` after it on every connection, where there is
-    one; `answered_by` is the role of whoever listens there; `connect_timeout` is in seconds.
+    one; `listener_role` is the role of whoever listens there; `connect_timeout` is in seconds.
     """
 
     def __init__(
@@ -128,11 +128,11 @@
         hello: Hello,
         connect_timeout: float,
         on_word: Callable[[Link, Any], None],
-        answered_by: str = "edge",
+        listener_role: str = "edge",
         greeting: Fields | None = None,
     ) -> None:
         self.me, self.hub, self.hello, self.on_word = me, hub, hello, on_word
-        self.connect_timeout, self.answered_by, self.greeting = connect_timeout, answered_by, greeting
+        self.connect_timeout, self.listener_role, self.greeting = connect_timeout, listener_role, greeting
         self.others = {number: Peer(self, number, address) for number, address in enumerate(addresses) if number != me}
         self.by_name = {name: self.others[number] for number, name in enumerate(names) if number != me}
 
@@ -146,7 +146,7 @@
             other.accept(link)
 
     def link(self, sock: Any) -> Link:
-        link = Link(self.hub, sock, Codec(self.answered_by), self.hello, self._event, lambda link, why: None)
+        link = Link(self.hub, sock, Codec(self.listener_role), self.hello, self._event, lambda link, why: None)
         self._greet(link)
         return link
 
