--- a/tansykeel/edge/control_session.py
+++ b/tansykeel/edge/control_session.py
@@ -225,7 +225,7 @@
             self.on_claim(now, self.hello.name, self.hello.boot, claim)
 
 
-def control_session_of(
+def create_control_session(
     settings: Settings,
     gateway_number: int,
     incarnation: int,
--- a/tansykeel/edge/hollow/gateways.py
+++ b/tansykeel/edge/hollow/gateways.py
@@ -9,7 +9,7 @@
 
 from tansykeel.control.actions import CountedLease
 from tansykeel.edge.clock import clock
-from tansykeel.edge.control_session import ClaimObserver, ControlSession, control_session_of
+from tansykeel.edge.control_session import ClaimObserver, ControlSession, create_control_session
 from tansykeel.edge.hollow.lease_time import LeaseTime
 from tansykeel.errors import Problem
 from tansykeel.settings.records import Settings
@@ -72,7 +72,7 @@
         self.incarnation = max(time.time_ns() & INCARNATION_MASK, self.incarnation + 1)
         self.starts += 1
         self.lease_time.start(clock())
-        self.session = control_session_of(
+        self.session = create_control_session(
             self.settings,
             self.number,
             self.incarnation,
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -16,7 +16,7 @@
 from tansykeel.cluster.send_queue import Urgency
 from tansykeel.edge.clock import Reminder, clock
 from tansykeel.edge.cluster_agent import ClusterAgent, PartObserver
-from tansykeel.edge.control_session import ClaimObserver, ControlSession, control_session_of
+from tansykeel.edge.control_session import ClaimObserver, ControlSession, create_control_session
 from tansykeel.edge.core import Core
 from tansykeel.edge.listing import Listing
 from tansykeel.edge.maintenance import UPDATE_INTERVAL_S, MaintenanceAgent
@@ -110,7 +110,7 @@
                 )
         self.control_session: ControlSession | None = None
         if settings.control:
-            self.control_session = control_session_of(
+            self.control_session = create_control_session(
                 settings, facts.me, self.incarnation, seed, self.hub, self.log, claimed
             )
         self.core = Core(
--- a/tests/edge/test_control_session.py
+++ b/tests/edge/test_control_session.py
@@ -17,7 +17,7 @@
 from tansykeel.control.actions import part_of
 from tansykeel.control.session_client import SessionState
 from tansykeel.edge.clock import clock
-from tansykeel.edge.control_session import control_session_of
+from tansykeel.edge.control_session import create_control_session
 from tansykeel.edge.program import Edge
 from tansykeel.protocol.frames import Goodbye, Heartbeat, SessionClose, SessionOpen
 from tansykeel.settings.build import facts_of
@@ -35,7 +35,7 @@
         self.settings = settings_of(control_settings([node.address for node in self.nodes.values()], GATEWAYS))
         self.hub = Hub(Limits())
         self.claims, self.ended_traffic = [], []
-        self.session = control_session_of(
+        self.session = create_control_session(
             self.settings,
             3,
             77,
