--- a/tansykeel/edge/control_session.py
+++ b/tansykeel/edge/control_session.py
@@ -1,6 +1,6 @@
-"""Runs a gateway's session with the control plane on the program's clock and connections, and logs what changes.
+"""Runs a gateway's session with the control plane on the event loop and over TCP, and logs its state changes.
 
-Many sessions may share one `Hub`: beside its connections a session costs one timer and no task of its own.
+Many sessions can share one `Hub`: apart from its connections a session costs one timer and no asyncio task.
 """
 
 from __future__ import annotations
@@ -30,22 +30,23 @@
 from tansykeel.settings.records import Settings
 from tansykeel.transport.link import Hub
 
-ROLE = "gateway"  # of the hello to control nodes
-MICROSECONDS_IN_MS = 1_000
-MILLISECONDS_IN_SECOND = 1_000
+ROLE = "gateway"  # role in the HELLO that is sent to control nodes
+MICROSECONDS_PER_MS = 1_000
+MILLISECONDS_PER_SECOND = 1_000
 REJECTED_ADVICE = (
     "compare control(...), region(...) and the gateway's name and number with the settings of the control nodes"
 )
 
-ClaimObserver = Callable[[int, str, int, CountedLease], None]  # now by `clock`, gateway, incarnation, what it counts by
+# Arguments: time by `clock`, name of the gateway, its incarnation, the lease that it uses from then on
+ClaimObserver = Callable[[int, str, int, CountedLease], None]
 ConnectionObserver = Callable[[socket.socket], None]
 
 
 class ControlSession:
-    """One gateway's session: carries out what its `SessionClient` asks for.
+    """One gateway's session: executes the actions that its `SessionClient` requests.
 
-    `on_claim` is called with each change of what the gateway counts by, before anything else is done by it;
-    `on_connection_end` with the socket of each connection that ends, while it can still be looked at.
+    `on_claim` is called with each change of the lease that the gateway uses, before any action that follows from the
+    change; `on_connection_end` is called with the socket of each connection that ends, while the socket is still open.
     """
 
     def __init__(
@@ -62,64 +63,65 @@
         self.client, self.addresses, self.hello = client, addresses, hello
         self.connect_timeout, self.hub, self.log = connect_timeout, hub, log
         self.on_claim, self.on_connection_end = on_claim, on_connection_end
-        self.connections: dict[str, ControlConnection] = {}  # by node; those that the client has a use for
-        self.ending: set[ControlConnection] = set()  # those that still send what waits
-        self.claim: CountedLease | None = None  # the newest that was observed
+        self.connections: dict[str, ControlConnection] = {}  # by node; those that the client still uses
+        self.ending: set[ControlConnection] = set()  # closing, but with frames still to send
+        self.claim: CountedLease | None = None  # the last one that was observed
         self.closed = False
-        self._node = ""  # that held the session, its rejection and its refusals when they were logged last
+        # What was logged last: the node that holds the session, the reason of its rejection, the refused renewals
+        self._node = ""
         self._rejected_reason = ""
         self._refusals = 0
         self._reminder = Reminder(self._tick)
 
     @property
     def allotments(self) -> Allotments:
-        """What the gateway earns of the wholes that all gateways divide."""
+        """The gateway's share, over time, of the limits that all gateways divide among themselves."""
         return self.client.allotments
 
     @property
     def is_open(self) -> bool:
-        """Whether a control node holds the session, as far as the gateway knows."""
+        """Whether the session is open at a control node, as far as the gateway knows."""
         return not self.closed and self.client.state is SessionState.OPEN
 
     @property
     def ended(self) -> bool:
-        """Whether the session was closed and all that it had to send has left, or can not."""
+        """Whether the session was closed and no connection is left: all frames were sent, or could not be sent."""
         return self.closed and not self.connections and not self.ending
 
     def open_sockets(self) -> list[socket.socket]:
-        """Return the sockets of connections that are up."""
+        """Return the sockets of all established connections."""
         connections = (*self.connections.values(), *self.ending)
         return [connection.sock for connection in connections if connection.sock]
 
     def start(self) -> None:
-        """Open the session; without a control node the gateway goes on with its safe part."""
+        """Open the session. Without a lease the gateway uses its safe part, the share that needs none."""
         now = clock()
-        self._carry_out(now, self.client.tick(now) if now >= self.client.due() else [])
+        self._execute(now, self.client.tick(now) if now >= self.client.due() else [])
 
     def close(self) -> None:
-        """Close the session in order: from now on the gateway counts by no lease."""
+        """Close the session gracefully; from now on the gateway uses no lease."""
         if self.closed:
             return
         now = clock()
         self.closed = True
-        self._carry_out(now, self.client.close(now))
+        self._execute(now, self.client.close(now))
         for connection in list(self.connections.values()):
             self._disconnect(connection)
 
     def abort(self, why: str) -> None:
-        """End it at once, as the end of the process would: control nodes hear nothing but the end of the connection."""
+        """Drop all connections at once, as the death of the process would: control nodes get no SESSION_CLOSE."""
         self.closed = True
         for connection in (*self.connections.values(), *self.ending):
             connection.abort(why)
 
-    # Within
+    # Implementation
 
     def _tick(self, now: int) -> None:
         if not self.closed:
-            self._carry_out(now, self.client.tick(now) if now >= self.client.due() else [])
+            self._execute(now, self.client.tick(now) if now >= self.client.due() else [])
 
-    def _carry_out(self, now: int, actions: list[GatewayAction]) -> None:
-        self._observe(now)
+    def _execute(self, now: int, actions: list[GatewayAction]) -> None:
+        self._log_changes(now)
         for action in actions:
             match action:
                 case ConnectToNode(node):
@@ -134,8 +136,8 @@
             self._reminder.set(max(self.client.due(), now + 1))
 
     def _connect(self, node: str) -> None:
-        if earlier := self.connections.get(node):
-            self._disconnect(earlier)
+        if previous := self.connections.get(node):
+            self._disconnect(previous)
         self.connections[node] = ControlConnection(
             node,
             self.addresses[node],
@@ -152,14 +154,14 @@
             connection.send(record)
 
     def _disconnect(self, connection: ControlConnection) -> None:
-        """Let go of a connection; its end is no news for the client any more."""
+        """Close a connection that the client no longer uses; its end is not reported to the client."""
         del self.connections[connection.node]
         self.ending.add(connection)
         connection.close()
 
     def _opened(self, connection: ControlConnection) -> None:
         now = clock()
-        self._carry_out(now, self.client.connected(now, connection.node))
+        self._execute(now, self.client.connected(now, connection.node))
 
     def _received(self, connection: ControlConnection, event: Event) -> None:
         if connection is not self.connections.get(connection.node) or not isinstance(event, Frame):
@@ -170,8 +172,8 @@
                 pass
             case SessionAccepted() | SessionRejected() | LeaseRenewal() | Goodbye():
                 if isinstance(record, SessionRejected) and record.retry_after:
-                    self._log_turned_away(connection.node, record)
-                self._carry_out(now, self.client.received(now, connection.node, record))
+                    self._log_rejection(connection.node, record)
+                self._execute(now, self.client.received(now, connection.node, record))
             case Error(text):
                 self.log.error("control node reported an error", node=connection.node, what=text)
             case _:
@@ -188,14 +190,14 @@
             return
         self.log.info("control connection lost", node=connection.node, reason=connection.fault or why)
         now = clock()
-        self._carry_out(now, self.client.connection_lost(now, connection.node))
+        self._execute(now, self.client.connection_lost(now, connection.node))
 
-    def _log_turned_away(self, node: str, rejected: SessionRejected) -> None:
-        retry_after_ms = rejected.retry_after // MICROSECONDS_IN_MS
+    def _log_rejection(self, node: str, rejected: SessionRejected) -> None:
+        retry_after_ms = rejected.retry_after // MICROSECONDS_PER_MS
         self.log.info("session rejected", node=node, reason=rejected.reason, retry_after_ms=retry_after_ms)
 
-    def _observe(self, now: int) -> None:
-        """Log what has changed since the last step, and pass on what the gateway counts by."""
+    def _log_changes(self, now: int) -> None:
+        """Log what has changed since the last call, and report a change of the lease that the gateway uses."""
         client = self.client
         if client.rejected_reason != self._rejected_reason:
             self._rejected_reason = client.rejected_reason
@@ -235,14 +237,14 @@
     on_claim: ClaimObserver | None = None,
     on_connection_end: ConnectionObserver | None = None,
 ) -> ControlSession:
-    """Make the session of the gateway of this number. Raises ControlSettingsError."""
+    """Create the session of the gateway with this number. Raises ControlSettingsError."""
     name = settings.gateway.named(gateway_number)
-    chance = Random(f"{seed} {name} {incarnation}")
+    rng = Random(f"{seed} {name} {incarnation}")
     return ControlSession(
-        session_client_of(settings, gateway_number, chance, clock()),
+        session_client_of(settings, gateway_number, rng, clock()),
         {node.name: node.address for node in settings.control_nodes},
         Hello(1, ROLE, name, incarnation, 0),
-        control_of(settings).connect_timeout_ms / MILLISECONDS_IN_SECOND,
+        control_of(settings).connect_timeout_ms / MILLISECONDS_PER_SECOND,
         hub,
         log,
         on_claim,
