--- a/tansykeel/edge/control_connection.py
+++ b/tansykeel/edge/control_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a gateway to a control node: it is opened, carries frames both ways, and ends once."""
+"""A gateway's connection to a control node: it is opened once, carries frames in both directions and ends once."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class ControlConnection:
-    """Connects to `address` at once.
+    """Starts to connect to `address` when it is created.
 
-    `on_open(connection)` once it is up, `on_event(connection, event)` for what the node sends, and
-    `on_lost(connection, why)` once where it cannot be opened, is lost, or has ended after `close`.
+    It calls `on_open(connection)` when the connection is established, `on_event(connection, event)` for each event that
+    arrives from the node, and `on_lost(connection, why)` exactly once: when the connection cannot be opened, is lost,
+    or has ended after `close` or `abort`. `connect_timeout` is in seconds.
     """
 
     def __init__(
@@ -35,45 +36,45 @@
         self.on_open, self.on_event, self.on_lost = on_open, on_event, on_lost
         self.link: Link | None = None
         self._opening: asyncio.Task[None] | None = asyncio.get_running_loop().create_task(self._open())
-        self._opening.add_done_callback(self._report_failure)
+        self._opening.add_done_callback(self._report_exception)
 
     @property
     def sock(self) -> socket.socket | None:
-        """The connected socket; none while it is being opened."""
+        """The connected socket; None before the connection is established."""
         return self.link.sock if self.link else None
 
     @property
     def fault(self) -> str:
-        """How the node broke the protocol, empty where it did not."""
+        """How the node violated the protocol; empty if it did not."""
         return (self.link.codec.fault or "") if self.link else ""
 
     def send(self, record: Fields) -> None:
-        """Send a frame; it is lost where the connection is not up."""
+        """Send a frame; it is discarded if the connection is not established."""
         if self.link:
             self.link.send(0, record)
 
     def close(self) -> None:
-        """End it once all that was sent has left."""
+        """Close the connection after all queued frames have been sent."""
         if self.link:
             self.link.close()
         else:
-            self._give_up("closed while it was being opened")
+            self._cancel_opening("closed before it was established")
 
     def abort(self, why: str) -> None:
-        """End it at once, with what waits unsent."""
+        """Close the connection at once and discard queued frames."""
         if self.link:
             self.link.abort(why)
         else:
-            self._give_up(why)
+            self._cancel_opening(why)
 
-    def _give_up(self, why: str) -> None:
+    def _cancel_opening(self, why: str) -> None:
         if self._opening:
             self._opening.cancel()
             self._opening = None
             self.on_lost(self, why)
 
-    def _report_failure(self, task: asyncio.Task[None]) -> None:
-        """Guards against an exception of `on_open` or `on_lost` that nobody sees: it goes to the program."""
+    def _report_exception(self, task: asyncio.Task[None]) -> None:
+        """Pass an exception of `on_open` or `on_lost` to the loop's exception handler; nobody awaits the task."""
         if not task.cancelled() and (error := task.exception()):
             context = {"message": "a handler of a control connection failed", "exception": error}
             asyncio.get_running_loop().call_exception_handler(context)
