--- a/tansykeel/edge/cluster_agent.py
+++ b/tansykeel/edge/cluster_agent.py
@@ -1,4 +1,4 @@
-"""Runs a cluster member on the program's clock and connections, and logs what changes."""
+"""Runs a gateway's cluster member on the event loop and the connections to the other gateways, and logs its changes."""
 
 from __future__ import annotations
 
@@ -12,104 +12,121 @@
 from tansykeel.cluster.membership import View
 from tansykeel.cluster.replicated_log import StateMachine
 from tansykeel.edge.clock import EPOCH, Reminder, clock
-from tansykeel.edge.cluster_connections import MICROS, ClusterConnections
+from tansykeel.edge.cluster_connections import MICROSECONDS_PER_TICK, ClusterConnections
 from tansykeel.edge.peers import Peers
 from tansykeel.protocol.frames import FleetTold, Hello, Watch
 from tansykeel.settings.cluster import cluster_member_of
 from tansykeel.settings.records import PeersOf
 
-PartObserver = Callable[[int, str, int, int, Fraction, int], None]  # at, who, life, view, part, until; microseconds
+# Arguments: time, name and incarnation of the gateway, number of the view, the gateway's share of each divided limit,
+# and when its lease on that share expires (0: the share needs no lease). Times: microseconds of the monotonic clock.
+PartObserver = Callable[[int, str, int, int, Fraction, int], None]
 
 
 class ClusterAgent:
-    """`counted` hears of each change of what this gateway counts as its own."""
+    """One gateway's `ClusterMember` with its timer and its connections.
+
+    `number` is the gateway's index in `names`; `wall_clock_ms` returns the wall-clock time in milliseconds;
+    `on_part_change` is called with each change of the gateway's share; `state_machine` is that of the replicated log,
+    None for a cluster without one.
+    """
 
     def __init__(
         self,
         settings: PeersOf,
         names: list[str],
-        me: int,
+        number: int,
         hello: Hello,
         seed: int,
         peers: Peers,
         log: Any,
-        wall_ms: Callable[[], int],
-        counted: PartObserver | None = None,
-        machine: StateMachine | None = None,
+        wall_clock_ms: Callable[[], int],
+        on_part_change: PartObserver | None = None,
+        state_machine: StateMachine | None = None,
     ) -> None:
-        self.names, self.peers, self.log, self.wall_ms, self.counted = names, peers, log, wall_ms, counted
+        self.names, self.peers, self.log, self.wall_clock_ms, self.on_part_change = (
+            names,
+            peers,
+            log,
+            wall_clock_ms,
+            on_part_change,
+        )
         self.cluster_member = cluster_member_of(
-            settings, names, me, hello.boot, Random(f"{seed} {hello.boot}"), clock(), machine
+            settings, names, number, hello.boot, Random(f"{seed} {hello.boot}"), clock(), state_machine
         )
         self.connections = ClusterConnections(self.cluster_member, peers, log)
         self.reminder = Reminder(self._tick)
-        self.leased = self.ended = False
-        self.told: tuple[int, Fraction, int] | None = None
+        self.leased = self.stopped = False  # `leased`: as logged last
+        self.last_part: tuple[int, Fraction, int] | None = None  # view, share, expiry, as reported last
 
     @property
     def view(self) -> View | None:
-        """The view that was there when last looked at."""
+        """The current view as of the last step."""
         return self.connections.view
 
     @property
-    def seems(self) -> dict[str, MemberState]:
-        """How each of the others seemed when last looked at."""
-        return self.connections.seems
+    def member_states(self) -> dict[str, MemberState]:
+        """The state of each member by name, as of the last step."""
+        return self.connections.member_states
 
     def start(self) -> None:
-        self._done(clock(), [])
+        """Start the timer, and with it the failure detector and the agreement on views."""
+        self._finish_step(clock(), [])
 
-    def send(self, sent: list[tuple[str, ClusterMessage]]) -> None:
-        """Send what the cluster member wants said beside its own steps."""
-        self._done(clock(), sent)
+    def send(self, messages: list[tuple[str, ClusterMessage]]) -> None:
+        """Send messages that the cluster member returned from a call made by another component."""
+        self._finish_step(clock(), messages)
 
     def leave(self) -> None:
-        self._done(clock(), self.cluster_member.leave(clock()))
+        """Tell the other gateways that this one ends."""
+        self._finish_step(clock(), self.cluster_member.leave(clock()))
 
     def stop(self) -> None:
-        self.ended = True
+        """Stop the timer and ignore further messages."""
+        self.stopped = True
 
     def received(self, hello: Hello, watch: Watch) -> None:
-        """A word of the gateway that said this hello. Raises ProtocolError for one that is none."""
-        if not self.ended and (received := self.connections.received(hello, watch)) is not None:
+        """Process a WATCH frame of the gateway that sent this HELLO. Raises ProtocolError if it holds no message."""
+        if not self.stopped and (received := self.connections.received(hello, watch)) is not None:
             now = clock()
-            self._done(now, self.cluster_member.heard(now, *received))
+            self._finish_step(now, self.cluster_member.heard(now, *received))
 
     def status(self) -> FleetTold:
-        """What this gateway believes, for an operator."""
+        """Return this gateway's view of the cluster, for an operator."""
         now = clock()
         return self.connections.status(now, float(self.cluster_member.agreement.part(now)))
 
-    # Within
+    # Implementation
 
     def _tick(self, now: int) -> None:
-        if self.ended:
+        if self.stopped:
             return
-        sent: list[tuple[str, ClusterMessage]] = []
+        messages: list[tuple[str, ClusterMessage]] = []
         if now >= self.cluster_member.due():
-            sent = self.cluster_member.tick(now, self.wall_ms())
-        self._done(now, sent)
-
-    def _done(self, now: int, sent: list[tuple[str, ClusterMessage]]) -> None:
-        self._look(now)
-        for name, word in sent:
-            self.connections.send(name, word)
+            messages = self.cluster_member.tick(now, self.wall_clock_ms())
+        self._finish_step(now, messages)
+
+    def _finish_step(self, now: int, messages: list[tuple[str, ClusterMessage]]) -> None:
+        """Report changes, send the messages that a step of the cluster member produced, and set the timer anew."""
+        self._report_changes(now)
+        for name, message in messages:
+            self.connections.send(name, message)
         self.reminder.set(max(self.cluster_member.due(), now + 1))
 
-    def _look(self, now: int) -> None:
-        """Say what changed since it was looked at last."""
+    def _report_changes(self, now: int) -> None:
+        """Log what changed since the last call, and report a change of the gateway's share."""
         agreement = self.cluster_member.agreement
         self.connections.log_changes()
         if (leased := agreement.leased(now)) is not self.leased:
             self.leased = leased
             self.log.info("lease", held=leased, view=agreement.number, part=float(agreement.part(now)))
-        if self.counted and self.cluster_member.counted != self.told:
-            self.told = number, part, until = self.cluster_member.counted
-            self.counted(
-                (now - EPOCH) * MICROS,
+        if self.on_part_change and self.cluster_member.counted != self.last_part:
+            self.last_part = number, part, until = self.cluster_member.counted
+            self.on_part_change(
+                (now - EPOCH) * MICROSECONDS_PER_TICK,
                 self.cluster_member.me.name,
                 self.cluster_member.me.incarnation,
                 number,
                 part,
-                max(until - EPOCH, 0) * MICROS,
+                max(until - EPOCH, 0) * MICROSECONDS_PER_TICK,
             )
--- a/tansykeel/edge/cluster_connections.py
+++ b/tansykeel/edge/cluster_connections.py
@@ -1,7 +1,7 @@
-"""Carries a cluster member's messages on the connections between programs, and logs how its cluster changes.
+"""Carries a cluster member's messages over the connections to the other members, and logs changes of the cluster.
 
-Gateways that agree on views and control nodes use it alike: each runs its member by itself and hands over what the
-member wants sent.
+Gateways that agree on views and control nodes both use it. Each of them runs its `ClusterMember` itself and passes the
+messages that the member wants sent.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from tansykeel.edge.peers import Peers
 from tansykeel.protocol.frames import Fellow, FleetTold, Hello, ProtocolError, Watch
 
-MICROS = 100  # microseconds in a tenth of a millisecond
-SEEMS = {MemberState.ALIVE: "alive", MemberState.SUSPECT: "suspect", MemberState.DEAD: "dead"}
+MICROSECONDS_PER_TICK = 100  # a tick of the clock is a tenth of a millisecond
+STATE_NAMES = {MemberState.ALIVE: "alive", MemberState.SUSPECT: "suspect", MemberState.DEAD: "dead"}
 
 
 class ClusterConnections:
-    """The connections of one cluster member to the others, which `peers` has under the same names."""
+    """The connections of one cluster member to the others; `peers` must use the same names as the cluster."""
 
     def __init__(self, member: ClusterMember, peers: Peers, log: Any) -> None:
         self.member, self.peers, self.log = member, peers, log
-        self.seems = dict.fromkeys(member.places, MemberState.ALIVE)
-        self.view: View | None = None
+        self.member_states = dict.fromkeys(member.places, MemberState.ALIVE)  # by name, as logged last
+        self.view: View | None = None  # the last one that was logged
 
     def send(self, name: str, message: ClusterMessage) -> None:
-        """Send a message to the member of this name, as soon as there is a connection and room for it."""
+        """Queue a message for the member with this name; it is sent once there is a connection with room for it."""
         self.peers.by_name[name].send(urgency_of(message), Watch(*CODEC.encode(message)))
 
     def received(self, hello: Hello, watch: Watch) -> tuple[Member, ClusterMessage] | None:
-        """Return a message and its sender; None where the hello is of no other member.
+        """Decode a WATCH frame and return the sender and the message; None if the sender is no other member.
 
-        Raises ProtocolError for what is no message.
+        `hello` is the HELLO of the sender. Raises ProtocolError if the frame holds no valid message.
         """
         if hello.name not in self.peers.by_name:
             return None
@@ -47,27 +47,30 @@
         return Member(hello.name, hello.boot, place.zone, place.weight), message
 
     def log_changes(self) -> None:
-        """Log what changed since the last call; connections to members that are called dead now are dropped."""
+        """Log what changed since the last call, and drop the connections to members that are now considered dead."""
         agreement = self.member.agreement
         if agreement.view is not None and agreement.view is not self.view:
-            self._followed(self.view, agreement.view)
+            self._view_changed(self.view, agreement.view)
             self.view = agreement.view
         for other in self.member.failure_detector.changes():
-            if other.seems is self.seems[other.name]:
+            if other.seems is self.member_states[other.name]:
                 continue
-            self.seems[other.name] = other.seems
+            self.member_states[other.name] = other.seems
             self.log.info(
                 "seems",
                 other=other.name,
-                now=SEEMS[other.seems],
+                now=STATE_NAMES[other.seems],
                 suspected_by=sorted(other.suspected_by) or None,
                 view=agreement.number,
             )
             if other.seems is MemberState.DEAD:
-                self.peers.by_name[other.name].drop("it is called dead")
+                self.peers.by_name[other.name].drop("considered dead by the failure detector")
 
     def status(self, now: int, part: float) -> FleetTold:
-        """Return what the member believes, for an operator; `part` is what it counts as its own of any whole."""
+        """Return this member's view of the cluster, for an operator.
+
+        `part` is the share of each divided limit that this member may use.
+        """
         member, agreement = self.member, self.member.agreement
         view = agreement.view
         return FleetTold(
@@ -75,23 +78,23 @@
             member.me.incarnation,
             agreement.number,
             agreement.active,
-            max(agreement.until() - now, 0) * MICROS,
+            max(agreement.until() - now, 0) * MICROSECONDS_PER_TICK,
             part,
             member.failure_detector.doubt,
             tuple((m.name, m.incarnation) for m in view.members) if view else (),
             tuple(v.name for v in view.voters) if view else (),
-            tuple(self._fellow(now, name) for name in member.failure_detector.others),
+            tuple(self._member_status(now, name) for name in member.failure_detector.others),
         )
 
-    # Within
+    # Implementation
 
-    def _fellow(self, now: int, name: str) -> Fellow:
+    def _member_status(self, now: int, name: str) -> Fellow:
         other, peer = self.member.failure_detector.others[name], self.peers.by_name[name]
         return Fellow(
             name,
             self.member.places[name].zone,
-            SEEMS[other.seems] if other.life else "unseen",  # type: ignore[arg-type]
-            (now - other.since) * MICROS,
+            STATE_NAMES[other.seems] if other.life else "unseen",  # type: ignore[arg-type]
+            (now - other.since) * MICROSECONDS_PER_TICK,
             other.life,
             tuple(sorted(other.suspected_by)),
             peer.state(),  # type: ignore[arg-type]
@@ -99,29 +102,35 @@
             sum(peer.send_queue.dropped.values()),
         )
 
-    def _followed(self, before: View | None, view: View) -> None:
-        """Guards against messages of an older view that wait still: their receivers would refuse them."""
+    def _view_changed(self, before: View | None, view: View) -> None:
+        """Drop queued messages about older views, which their receivers would refuse, and log the new view."""
         for peer in self.peers.others.values():
             peer.send_queue.drop(Urgency.PROMISE, lambda watch: _is_older(watch, view.number))
-        was, now = set(before.members if before else ()), set(view.members)
-        left = {member.name: SEEMS[self.seems[member.name]] for member in was - now if member.name in self.seems}
+        old_members, members = set(before.members if before else ()), set(view.members)
+        left = {
+            member.name: STATE_NAMES[self.member_states[member.name]]
+            for member in old_members - members
+            if member.name in self.member_states
+        }
         self.log.info(
             "view",
             number=view.number,
             cause=_cause_of(before, view),
-            members=len(now),
-            joined=sorted(member.name for member in now - was),
+            members=len(members),
+            joined=sorted(member.name for member in members - old_members),
             left=left or None,
             voters=[voter.name for voter in view.voters],
         )
 
 
 def _cause_of(before: View | None, view: View) -> str:
+    """Return the field `cause` of the log line about a new view."""
     if not view.electors:
         return "formed by all"
     return "agreed" if before and view.number == before.number + 1 else "missed some"
 
 
-def _is_older(watch: Watch, number: int) -> bool:
-    of = number_of(CODEC.decode(watch.what, watch.word))
-    return of is not None and of < number
+def _is_older(watch: Watch, view_number: int) -> bool:
+    """Whether a queued message is about a view older than this one; messages about no view never are."""
+    number = number_of(CODEC.decode(watch.what, watch.word))
+    return number is not None and number < view_number
--- a/tests/edge/test_cluster_agent.py
+++ b/tests/edge/test_cluster_agent.py
@@ -1,4 +1,4 @@
-"""Gateways on loopback that watch each other and agree on views: connections, leaving, asking."""
+"""Gateways on loopback that monitor each other and agree on views: connections, leaving, status requests."""
 
 from __future__ import annotations
 
@@ -15,24 +15,26 @@
 from tansykeel.settings.build import facts_of
 from tansykeel.transport.sockets import listening
 
-EACH = Fraction(1, 5)
-SAFE = Fraction(1, 25)
+EVEN_SHARE = Fraction(1, 5)  # of each of five gateways in a view of all
+SAFE_SHARE = Fraction(1, 25)  # of each gateway without a lease
 
 
 class Fleet:
-    def __init__(self, addresses, made):
-        self.addresses, self.made = addresses, made
+    """Gateways of the same settings in this process, started and stopped by number."""
+
+    def __init__(self, addresses, settings):
+        self.addresses, self.settings = addresses, settings
         self.edges, self.serving = {}, {}
-        self.counted = []
+        self.part_changes = []
 
     async def start(self, number):
         port = asyncio.get_running_loop().create_future()
         edge = Edge(
-            self.made,
-            facts_of(self.made, number, len(self.addresses)),
+            self.settings,
+            facts_of(self.settings, number, len(self.addresses)),
             1,
             sample=10**9,
-            counted=lambda *told: self.counted.append(told),
+            counted=lambda *change: self.part_changes.append(change),
         )
         self.edges[number] = edge
         self.serving[number] = asyncio.create_task(edge.serve(port.set_result))
@@ -44,9 +46,9 @@
         await self.serving.pop(number)
         assert not edge.failed, "the gateway's own code failed"
 
-    async def until(self, so):
-        """Wait until something is so at all gateways; the test's own bound ends it else."""
-        while not all(so(edge.cluster_agent) for edge in self.edges.values()):
+    async def until(self, condition):
+        """Wait until a condition holds at all gateways; the time limit of `play` ends an endless wait."""
+        while not all(condition(edge.cluster_agent) for edge in self.edges.values()):
             await asyncio.sleep(0.02)
 
 
@@ -54,77 +56,81 @@
 async def fleet(extra="", agree="agree = True, lease_ms = 600, ping_ms = 100"):
     store = await FakeStore("s0", 0, deliver).start()
     addresses = [free_address() for _ in range(5)]
-    made = settings_with([store], f"peers(addresses = {addresses!r}, {agree})\n{extra}")
-    made_fleet = Fleet(addresses, made)
+    settings = settings_with([store], f"peers(addresses = {addresses!r}, {agree})\n{extra}")
+    gateways = Fleet(addresses, settings)
     try:
-        yield made_fleet
+        yield gateways
     finally:
-        for number in list(made_fleet.edges):
-            await made_fleet.stop(number)
+        for number in list(gateways.edges):
+            await gateways.stop(number)
         await store.stop()
 
 
-def settled(members):
-    def so(cluster_agent):
+def has_leased_view_of(members):
+    def condition(cluster_agent):
         agreement = cluster_agent.cluster_member.agreement
         return agreement.active and cluster_agent.leased and len(agreement.view.members) == members
 
-    return so
+    return condition
 
 
-def test_a_fleet_forms_a_view_over_one_connection_a_pair_and_goes_on_without_one_that_leaves():
-    async def go():
+def test_gateways_form_a_view_with_one_connection_per_pair_and_a_new_view_without_a_gateway_that_leaves():
+    async def scenario():
         async with fleet() as gateways:
             for number in range(5):
                 await gateways.start(number)
-            await gateways.until(settled(5))
-            assert {edge.cluster_agent.told[1] for edge in gateways.edges.values()} == {EACH}
+            await gateways.until(has_leased_view_of(5))
+            assert {edge.cluster_agent.last_part[1] for edge in gateways.edges.values()} == {EVEN_SHARE}
             links = sum(len(edge.hub.links) for edge in gateways.edges.values())
-            while links > 2 * 10:  # of two that were opened at once one closes
+            while links > 2 * 10:  # two ends of ten pairs; of two connections opened at the same time one is closed
                 await asyncio.sleep(0.02)
                 links = sum(len(edge.hub.links) for edge in gateways.edges.values())
             first = gateways.edges[0].cluster_agent.view.number
             await gateways.stop(4)
-            await gateways.until(settled(4))
+            await gateways.until(has_leased_view_of(4))
             assert {edge.cluster_agent.view.number for edge in gateways.edges.values()} == {first + 1}
-            assert {edge.cluster_agent.told[1] for edge in gateways.edges.values()} == {SAFE + Fraction(1, 5)}
-            # It said that it leaves: nobody had to suspect it.
-            assert all(e.cluster_agent.seems["edge-4"].name == "DEAD" for e in gateways.edges.values())
+            assert {edge.cluster_agent.last_part[1] for edge in gateways.edges.values()} == {
+                SAFE_SHARE + Fraction(1, 5)
+            }
+            # It announced that it leaves, so the others need not wait for a suspicion to expire.
+            assert all(e.cluster_agent.member_states["edge-4"].name == "DEAD" for e in gateways.edges.values())
             await gateways.start(4)
-            await gateways.until(settled(5))
+            await gateways.until(has_leased_view_of(5))
             assert gateways.edges[4].cluster_agent.view.number == first + 2
 
-    play(go(), 40)
+    play(scenario(), 40)
 
 
-def test_an_operator_is_told_what_a_gateway_believes():
-    async def go():
+def test_a_status_request_returns_the_gateways_view_of_the_cluster():
+    async def scenario():
         async with fleet() as gateways:
-            for number in range(3):  # of five: no first view without the others
+            for number in range(3):  # of five: the first view needs all of them
                 await gateways.start(number)
             await gateways.until(
                 lambda cluster_agent: (
                     cluster_agent.cluster_member.failure_detector.others["edge-4"].seems.name == "DEAD"
                 )
             )
-            told = await ask(gateways.addresses[0], 5)
-            assert (told.name, told.number, told.leased, told.part) == ("edge-0", 0, 0, float(SAFE))
-            seen = {other.name: (other.seems, other.link) for other in told.others}
-            assert seen["edge-1"] == ("alive", "up") and seen["edge-4"][1] != "up"
+            status = await ask(gateways.addresses[0], 5)
+            assert (status.name, status.number, status.leased, status.part) == ("edge-0", 0, 0, float(SAFE_SHARE))
+            others = {other.name: (other.seems, other.link) for other in status.others}
+            assert others["edge-1"] == ("alive", "up") and others["edge-4"][1] != "up"
             for number in (3, 4):
                 await gateways.start(number)
-            await gateways.until(settled(5))
-            told = await ask(gateways.addresses[3], 5)
-            assert told.leased and told.active and told.part == float(EACH) and len(told.members) == 5
+            await gateways.until(has_leased_view_of(5))
+            status = await ask(gateways.addresses[3], 5)
+            assert status.leased and status.active and status.part == float(EVEN_SHARE) and len(status.members) == 5
             assert (
-                sorted(told.voters) == sorted(name for name, _ in told.members) == gateways.edges[0].cluster_agent.names
+                sorted(status.voters)
+                == sorted(name for name, _ in status.members)
+                == gateways.edges[0].cluster_agent.names
             )
 
-    play(go(), 40)
+    play(scenario(), 40)
 
 
-def test_who_agrees_with_nobody_says_so():
-    async def go():
+def test_a_gateway_without_agreement_answers_a_status_request_with_an_error():
+    async def scenario():
         async with fleet(agree="agree = False") as gateways:
             await gateways.start(0)
             with pytest.raises(NotTold, match=r"peers\(agree = True\)"):
@@ -134,15 +140,18 @@
             with pytest.raises(NotTold, match="host:port"):
                 await ask("nowhere", 5)
 
-    play(go(), 20)
+    play(scenario(), 20)
+
 
+def test_a_gateway_that_accepts_connections_and_never_answers_delays_no_other():
+    """Guards against one queue for all peers: messages to a silent peer must not delay those to the others.
 
-def test_a_gateway_that_takes_connections_and_says_nothing_holds_up_no_other():
-    """The fifth accepts and is silent: words to it wait and go, the others' are not behind them."""
+    The fifth gateway's address accepts connections and never sends; messages to it expire in its own queue.
+    """
 
-    async def go():
+    async def scenario():
         async with fleet() as gateways:
-            hole = listening(gateways.addresses[4])
+            silent_listener = listening(gateways.addresses[4])
             for number in range(4):
                 await gateways.start(number)
             await gateways.until(
@@ -157,21 +166,21 @@
                     if f"edge-{n}" != cluster_agent.names[cluster_agent.peers.me]
                 )
             )
-            hole.close()
+            silent_listener.close()
             await gateways.start(4)
-            await gateways.until(settled(5))
+            await gateways.until(has_leased_view_of(5))
 
-    play(go(), 40)
+    play(scenario(), 40)
 
 
-def test_the_command_shows_a_table_or_json(monkeypatch):
+def test_the_status_command_prints_a_table_or_json(monkeypatch):
     from typer.testing import CliRunner
 
     from tansykeel.cli.main import app
-    from tansykeel.edge import ask as asking
+    from tansykeel.edge import ask as ask_module
     from tansykeel.protocol.frames import Fellow, FleetTold
 
-    told = FleetTold(
+    status = FleetTold(
         "edge-0",
         5,
         3,
@@ -185,10 +194,10 @@
     )
 
     async def answer(address, seconds):
-        return told
+        return status
 
-    monkeypatch.setattr(asking, "ask", answer)
-    shown = CliRunner().invoke(app, ["fleet", "status", "h:1"])
-    assert shown.exit_code == 0 and "view 3" in shown.output and "suspect" in shown.output
+    monkeypatch.setattr(ask_module, "ask", answer)
+    result = CliRunner().invoke(app, ["fleet", "status", "h:1"])
+    assert result.exit_code == 0 and "view 3" in result.output and "suspect" in result.output
     parsed = json.loads(CliRunner().invoke(app, ["fleet", "status", "h:1", "--json"]).output)
     assert parsed["number"] == 3 and parsed["others"][0]["suspected_by"] == ["edge-2"]
