--- a/tests/edge/test_cluster_agent.py
+++ b/tests/edge/test_cluster_agent.py
@@ -163,7 +163,7 @@
                 lambda cluster_agent: all(
                     cluster_agent.cluster_member.failure_detector.others[f"edge-{n}"].life
                     for n in range(4)
-                    if f"edge-{n}" != cluster_agent.names[cluster_agent.peers.me]
+                    if f"edge-{n}" != cluster_agent.names[cluster_agent.peers.number]
                 )
             )
             silent_listener.close()
