--- a/tansykeel/edge/cluster_connections.py
+++ b/tansykeel/edge/cluster_connections.py
@@ -106,18 +106,18 @@
         """Drop queued messages about older views, which their receivers would refuse, and log the new view."""
         for peer in self.peers.others.values():
             peer.send_queue.drop(Urgency.PROMISE, lambda watch: _is_older(watch, view.number))
-        old_members, members = set(before.members if before else ()), set(view.members)
+        old_members, new_members = set(before.members if before else ()), set(view.members)
         left = {
             member.name: STATE_NAMES[self.member_states[member.name]]
-            for member in old_members - members
+            for member in old_members - new_members
             if member.name in self.member_states
         }
         self.log.info(
             "view",
             number=view.number,
             cause=_cause_of(before, view),
-            members=len(members),
-            joined=sorted(member.name for member in members - old_members),
+            members=len(new_members),
+            joined=sorted(member.name for member in new_members - old_members),
             left=left or None,
             voters=[voter.name for voter in view.voters],
         )
