--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -1,4 +1,8 @@
-"""Runs the maintenance controller on the program's clock: answers agents and operators, passes on figures."""
+"""Runs the maintenance controller of a gateway on its clock, connections and cluster member.
+
+It answers the agents of machines that may be taken out of service and the operators of rollouts, and it collects the
+task counts from which the leader compares the new version with the old one.
+"""
 
 from __future__ import annotations
 
@@ -28,14 +32,20 @@
 from tansykeel.settings.cluster import bounds_of, comparing_of, pace_of
 from tansykeel.settings.records import AccordOf
 
-UPDATE_INTERVAL_S = 0.2  # seconds
-STRETCH = 10_000  # tenths: figures are of as long
-KEPT = 3  # stretches whose figures are waited for
+UPDATE_INTERVAL_S = 0.2
+FIGURES_INTERVAL = 10_000  # ticks of the clock: each gateway reports its task counts once per interval, here a second
+INTERVALS_KEPT = 3  # the counts of an interval are compared so many intervals later, when those of all have arrived
 Reply = Callable[[MaintenanceMessage], None]
 
 
 class MaintenanceAgent:
-    """`tell(name, word)` to another gateway; `sent` takes what the cluster member wants said."""
+    """One gateway's `Controller` with what it reads and how it sends.
+
+    `addresses` are the addresses of all gateways by name. `served` holds, by category, how many tasks this gateway has
+    answered and how many of them were delivered in time; the gateway's program updates it.
+    `send_to_gateway(name, message)` sends a message to another gateway; `send_to_cluster` takes messages that the
+    cluster member wants sent.
+    """
 
     def __init__(
         self,
@@ -45,8 +55,8 @@
         core: Core,
         addresses: dict[str, str],
         served: dict[str, list[int]],
-        tell: Callable[[str, MaintenanceMessage], None],
-        sent: Callable[[list[Sent]], None],
+        send_to_gateway: Callable[[str, MaintenanceMessage], None],
+        send_to_cluster: Callable[[list[Sent]], None],
         log: Any,
     ) -> None:
         self.state, self.cluster_member, self.core, self.addresses, self.served = (
@@ -56,48 +66,57 @@
             addresses,
             served,
         )
-        self.tell, self.sent, self.log = tell, sent, log
+        self.send_to_gateway, self.send_to_cluster, self.log = send_to_gateway, send_to_cluster, log
         self.controller = Controller(state, pace_of(settings), comparing_of(settings), len(core.facts.categories))
         self.bounds = bounds_of(settings)
-        self.pending: dict[str, tuple[int, Reply]] = {}  # agents that wait for a majority, by name: since when
-        self.stretch = 0
-        self.before: dict[str, Seen] = {}
-        self.figures: dict[int, dict[str, dict[str, Seen]]] = {}  # by stretch, gateway, class
-        self.led = False
+        self.pending: dict[str, tuple[int, Reply]] = {}  # by agent: when it asked; its answer waits for a majority
+        self.interval = 0  # number of the present one
+        self.last_counts: dict[str, Seen] = {}  # by category, at the end of the last interval
+        self.figures: dict[int, dict[str, dict[str, Seen]]] = {}  # by interval, gateway, category
+        self.led = False  # whether this gateway led the log at the last update
 
     def update(self) -> None:
-        """To be called every UPDATE_INTERVAL_S."""
-        now, book = clock(), self.cluster_member.replicated_log
-        assert book is not None
-        if book.leads is not self.led:
-            self.led = book.leads
-            self.log.info("ledger", leads=self.led, view=self.cluster_member.agreement.number, entries=book.last)
-        self.controller.leads(now, book.leads)
-        if now // STRETCH != self.stretch:
-            self.stretch = now // STRETCH
-            self._figures()
-        if book.leads:
-            gone, alive = self._seen()
+        """Advance the controller and answer waiting agents; to be called every UPDATE_INTERVAL_S."""
+        now, replicated_log = clock(), self.cluster_member.replicated_log
+        assert replicated_log is not None
+        if replicated_log.leads is not self.led:
+            self.led = replicated_log.leads
+            self.log.info(
+                "ledger", leads=self.led, view=self.cluster_member.agreement.number, entries=replicated_log.last
+            )
+        self.controller.leads(now, replicated_log.leads)
+        if now // FIGURES_INTERVAL != self.interval:
+            self.interval = now // FIGURES_INTERVAL
+            self._finish_interval()
+        if replicated_log.leads:
+            gone, alive = self._health()
             for entry in self.controller.wants(now, self._places(), self.bounds, gone, alive):
-                self.sent(self.cluster_member.offer(now, packed(entry))[1])
+                self.send_to_cluster(self.cluster_member.offer(now, packed(entry))[1])
         for name, (since, reply) in list(self.pending.items()):
             self._answer(now, name, since, reply)
 
-    def received(self, word: MaintenanceMessage, reply: Reply) -> None:
-        """An agent or an operator says something; what gateways say comes by `figures_received`."""
-        now, book = clock(), self.cluster_member.replicated_log
-        assert book is not None
-        match word:
-            case Offered(entry) if isinstance(entry, Recover) and not book.carried and not book.leads:
-                # The voters of the view before are gone: nobody leads until an operator says so.
-                self.sent(list(book.go_on(now)))
-                reply(Taken(False, "this view goes on with what it knows; legal: the same again in a few seconds"))
-            case _ if not book.leads:
-                reply(Elsewhere(book.leader, self.addresses.get(book.leader, "")))
+    def received(self, message: MaintenanceMessage, reply: Reply) -> None:
+        """Process a message of an agent or an operator; `figures_received` takes those of other gateways."""
+        now, replicated_log = clock(), self.cluster_member.replicated_log
+        assert replicated_log is not None
+        match message:
+            case Offered(entry) if (
+                isinstance(entry, Recover) and not replicated_log.carried and not replicated_log.leads
+            ):
+                # The voters of the previous view are lost, so no gateway can lead the log until an operator allows it.
+                self.send_to_cluster(list(replicated_log.go_on(now)))
+                reply(
+                    Taken(
+                        False,
+                        "the log continues with what this view knows; repeat the command in a few seconds",
+                    )
+                )
+            case _ if not replicated_log.leads:
+                reply(Elsewhere(replicated_log.leader, self.addresses.get(replicated_log.leader, "")))
             case Ask():
-                self.controller.asked(now, word)
-                self.pending[word.name] = now, reply
-                self._answer(now, word.name, now, reply)
+                self.controller.asked(now, message)
+                self.pending[message.name] = now, reply
+                self._answer(now, message.name, now, reply)
             case StatusAsk():
                 release = self.state.under_way()
                 steps = release.steps()[:1] if release else []
@@ -105,36 +124,44 @@
                     Status(
                         self.cluster_member.me.name,
                         self.cluster_member.agreement.number,
-                        book.last,
+                        replicated_log.last,
                         self.state.kept,
                         tuple(self.state.against(steps[0])) if steps else (),
                     )
                 )
             case Offered(entry):
                 if isinstance(entry, Recover) and self.controller.recover(now, entry.out, entry.by) is None:
-                    return reply(Taken(False, "orders of before may still be obeyed; legal: a few seconds later"))
+                    return reply(
+                        Taken(
+                            False,
+                            "agents may still follow earlier orders; repeat the command in a few seconds",
+                        )
+                    )
                 added, sent = self.cluster_member.offer(now, packed(entry))
-                self.sent(sent)
+                self.send_to_cluster(sent)
                 reply(Taken(added))
 
-    def figures_received(self, gateway: str, word: Figures) -> None:
-        self.figures.setdefault(word.stretch, {})[gateway] = word.by_class
+    def figures_received(self, gateway: str, figures: Figures) -> None:
+        """Keep the task counts of a gateway for one interval, this gateway's own ones included."""
+        self.figures.setdefault(figures.stretch, {})[gateway] = figures.by_class
 
-    # Within
+    # Implementation
 
     def _answer(self, now: int, name: str, since: int, reply: Reply) -> None:
-        book = self.cluster_member.replicated_log
-        assert book is not None
+        """Reply to an agent that asked at `since`; where an order may still follow, keep the agent waiting."""
+        replicated_log = self.cluster_member.replicated_log
+        assert replicated_log is not None
         out = self.state.kept.out.get(name)
-        if (order := self.controller.answer(now, name, book.confirmed(now))) is not None:
+        if (order := self.controller.answer(now, name, replicated_log.confirmed(now))) is not None:
             reply(order)
-        elif out is not None and book.leads and now - since < self.controller.pace.patience:
-            return  # until a majority has confirmed that this gateway leads, or it is too late
+        elif out is not None and replicated_log.leads and now - since < self.controller.pace.patience:
+            return  # until a majority has confirmed that this gateway leads, or the agent has waited too long
         else:
             reply(Wait(tuple(self.state.against(name))))
         self.pending.pop(name, None)
 
     def _places(self) -> dict[str, Place]:
+        """Return all gateways of the settings and all stores of the store list, by name."""
         gateways = {name: Place(name, "gateway", place.zone) for name, place in self.cluster_member.places.items()}
         stores = {
             str(store.handle): Place(str(store.handle), "store", store.zone, store.shard)
@@ -143,8 +170,11 @@
         }
         return gateways | stores
 
-    def _seen(self) -> tuple[dict[str, str], list[str]]:
-        """Who went unasked and how, and who of those that did is there and whole."""
+    def _health(self) -> tuple[dict[str, str], list[str]]:
+        """Return who is out of service and why, by name, and who is in service.
+
+        A store that is ready but still warming up is in neither.
+        """
         now, cold = self.core.runner.now, self.core.facts.cold
         others = self.cluster_member.failure_detector.others.values()
         gone = {other.name: "died" for other in others if other.seems is MemberState.DEAD}
@@ -156,39 +186,43 @@
                 alive.append(name)
         return gone, [*alive, self.cluster_member.me.name]
 
-    def _figures(self) -> None:
-        """Tell whoever leads what was served in the last stretch; a leader compares those that are whole."""
-        counts = {name: Seen(*of) for name, of in self.served.items()}
+    def _finish_interval(self) -> None:
+        """Report the task counts of the last interval to the leader; the leader compares the counts of older ones."""
+        counts = {name: Seen(*totals) for name, totals in self.served.items()}
         last = {
             name: Seen(
-                of.tasks - self.before.get(name, Seen(0, 0)).tasks, of.served - self.before.get(name, Seen(0, 0)).served
+                totals.tasks - self.last_counts.get(name, Seen(0, 0)).tasks,
+                totals.served - self.last_counts.get(name, Seen(0, 0)).served,
             )
-            for name, of in counts.items()
+            for name, totals in counts.items()
         }
-        self.before = counts
-        book = self.cluster_member.replicated_log
-        assert book is not None
-        word = Figures(self.stretch - 1, {name: seen for name, seen in last.items() if seen.tasks})
-        if book.leads:
-            self.figures_received(self.cluster_member.me.name, word)
-        elif book.leader:
-            self.tell(book.leader, word)
-        for stretch in [stretch for stretch in self.figures if stretch <= self.stretch - KEPT]:
-            told = self.figures.pop(stretch)
-            if book.leads:
-                self._compare(told)
-
-    def _compare(self, told: dict[str, dict[str, Seen]]) -> None:
+        self.last_counts = counts
+        replicated_log = self.cluster_member.replicated_log
+        assert replicated_log is not None
+        figures = Figures(self.interval - 1, {name: seen for name, seen in last.items() if seen.tasks})
+        if replicated_log.leads:
+            self.figures_received(self.cluster_member.me.name, figures)
+        elif replicated_log.leader:
+            self.send_to_gateway(replicated_log.leader, figures)
+        for interval in [interval for interval in self.figures if interval <= self.interval - INTERVALS_KEPT]:
+            by_gateway = self.figures.pop(interval)
+            if replicated_log.leads:
+                self._compare(by_gateway)
+
+    def _compare(self, by_gateway: dict[str, dict[str, Seen]]) -> None:
+        """Give the controller the counts of one interval: of gateways with the new version, and of the others."""
         release = self.state.under_way()
         if release is None:
             return
         newer = {name for name in release.went if name not in release.returned}
         sides: tuple[dict[tuple[str, int], Seen], dict[tuple[str, int], Seen]] = ({}, {})
-        for name, by_class in told.items():
+        for name, by_class in by_gateway.items():
             if name in self.state.kept.out or name not in self.cluster_member.places:
                 continue
             side, zone = sides[name not in newer], self.cluster_member.places[name].zone
-            for of, seen in by_class.items():
-                was = side.get((of, zone), Seen(0, 0))
-                side[of, zone] = Seen(was.tasks + seen.tasks, was.served + min(seen.served, seen.tasks))
+            for category, counts in by_class.items():
+                sum_so_far = side.get((category, zone), Seen(0, 0))
+                side[category, zone] = Seen(
+                    sum_so_far.tasks + counts.tasks, sum_so_far.served + min(counts.served, counts.tasks)
+                )
         self.controller.figures(clock(), *sides)
