--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -105,12 +105,7 @@
             ):
                 # The voters of the previous view are lost, so no gateway can lead the log until an operator allows it.
                 self.send_to_cluster(list(replicated_log.go_on(now)))
-                reply(
-                    Taken(
-                        False,
-                        "the log continues with what this view knows; repeat the command in a few seconds",
-                    )
-                )
+                reply(Taken(False, "this view goes on with what it knows; legal: the same again in a few seconds"))
             case _ if not replicated_log.leads:
                 reply(Elsewhere(replicated_log.leader, self.addresses.get(replicated_log.leader, "")))
             case Ask():
@@ -131,12 +126,7 @@
                 )
             case Offered(entry):
                 if isinstance(entry, Recover) and self.controller.recover(now, entry.out, entry.by) is None:
-                    return reply(
-                        Taken(
-                            False,
-                            "agents may still follow earlier orders; repeat the command in a few seconds",
-                        )
-                    )
+                    return reply(Taken(False, "orders of before may still be obeyed; legal: a few seconds later"))
                 added, sent = self.cluster_member.offer(now, packed(entry))
                 self.send_to_cluster(sent)
                 reply(Taken(added))
