--- a/tansykeel/edge/hollow/__init__.py
+++ b/tansykeel/edge/hollow/__init__.py
@@ -1,4 +1,5 @@
-"""Hollow gateways: many gateways' sessions with the control plane in one process, without clients and stores.
+"""Hollow gateways: the control-plane sessions of many gateways in one process, without clients and stores.
 
-They run the code that a real gateway runs for control, so what one of them spends is what control costs a gateway.
+They run the same control-plane code as a real gateway, so the cost of one of them is what the control plane costs a
+gateway.
 """
--- a/tansykeel/edge/hollow/commands.py
+++ b/tansykeel/edge/hollow/commands.py
@@ -1,13 +1,13 @@
-"""Commands to a process of hollow gateways: JSON objects, one a line of its standard input.
+"""Commands to a process of hollow gateways: JSON objects, one per line of its standard input.
 
-    {"do": "kill", "first": 3, "count": 40}    their connections end as if their process died; nothing is said before
-    {"do": "close", "first": 3, "count": 40}   they close their sessions in order, as on SIGTERM
-    {"do": "start", "first": 3, "count": 40}   those of the range that do not run start, each as a new incarnation
-    {"do": "report"}                           the totals are printed
-    {"do": "report", "file": "report.json"}    the full report is written to this file first
+    {"do": "kill", "first": 3, "count": 40}    drop their connections, as if their process had died
+    {"do": "close", "first": 3, "count": 40}   close their sessions gracefully, as on SIGTERM
+    {"do": "start", "first": 3, "count": 40}   start those of the range that do not run, each as a new incarnation
+    {"do": "report"}                           print the totals
+    {"do": "report", "file": "report.json"}    write the full report to this file, then print the totals
 
 Each is answered by one line on standard output, {"event": "done", "do": ...} with the totals for a report, or
-{"event": "failed", "what": ..., "do": what to do about it}.
+{"event": "failed", "what": the error, "do": what to do about it}.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class Report(Command, frozen=True, tag="report"):
-    """Report what was spent."""
+    """Report what the process used; `file` is for the full report, empty: none is written."""
 
     file: str = ""
 
@@ -57,8 +57,8 @@
 _decoder = msgspec.json.Decoder(AnyCommand)
 
 
-def carry_out(line: bytes, gateways: HollowGateways, meter: Meter) -> dict[str, Any]:
-    """Carry out one line and return the fields of its answer. Raises HollowError."""
+def execute(line: bytes, gateways: HollowGateways, meter: Meter) -> dict[str, Any]:
+    """Execute the command of one line and return the fields of its answer. Raises HollowError."""
     try:
         command = _decoder.decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/tansykeel/edge/hollow/gateways.py
+++ b/tansykeel/edge/hollow/gateways.py
@@ -1,4 +1,4 @@
-"""A range of hollow gateways: started, killed as a process dies, closed in order."""
+"""Hollow gateways of a range of numbers, which can be started, killed as by the death of a process, and closed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tansykeel.transport.link import Hub, Limits
 from tansykeel.transport.traffic import Traffic, traffic_of
 
-INCARNATION_MASK = 2**62 - 1  # what the hello's `boot` holds of a clock's nanoseconds
+INCARNATION_MASK = 2**62 - 1  # the field `boot` of the hello has room for 62 bits of the wall clock's nanoseconds
 
 
 class HollowError(Problem, ValueError):
@@ -28,7 +28,7 @@
 
 
 class HollowGateway:
-    """One gateway: its session while it runs, and what is measured of it over all of its incarnations."""
+    """One gateway: its session while it runs, and what is measured over all of its incarnations."""
 
     def __init__(self, settings: Settings, number: int, seed: int, hub: Hub, log: Any, on_claim: ClaimObserver) -> None:
         self.settings, self.number, self.seed, self.hub = settings, number, seed, hub
@@ -39,34 +39,34 @@
         self.starts = 0
         self.session: ControlSession | None = None
         self.lease_time = LeaseTime()
-        self._claim: CountedLease | None = None  # the newest, of any incarnation
-        self._ended_traffic = Traffic()  # of connections that ended
+        self._claim: CountedLease | None = None  # the last one, of any incarnation
+        self._ended_traffic = Traffic()  # of connections that have ended
 
     @property
     def running(self) -> bool:
-        """Whether it was started and neither killed nor closed since."""
+        """Whether it was started and has not been killed or closed since."""
         return self.session is not None and not self.session.closed
 
     @property
     def session_open(self) -> bool:
-        """Whether a control node holds its session, as far as it knows."""
+        """Whether its session is open at a control node, as far as it knows."""
         return self.session is not None and self.running and self.session.is_open
 
     @property
     def traffic(self) -> Traffic:
-        """Return what went over its connections to control nodes so far, of all incarnations."""
+        """The traffic of its connections to control nodes, of all incarnations."""
         total = self._ended_traffic
         for sock in self.session.open_sockets() if self.session else ():
             total += traffic_of(sock)
         return total
 
     def units(self, now: int) -> int:
-        """Return the units that it counts at this moment; one that was killed counts none."""
+        """Return the units of the lease that it uses at this moment; 0 without a lease or if it does not run."""
         claim = self._claim
         return claim.units if claim and self.running and now < claim.until else 0
 
     def start(self) -> None:
-        """Start it as a new incarnation; one that runs is left alone."""
+        """Start it as a new incarnation; does nothing if it runs."""
         if self.running:
             return
         self.incarnation = max(time.time_ns() & INCARNATION_MASK, self.incarnation + 1)
@@ -79,24 +79,24 @@
             self.seed,
             self.hub,
             self.log,
-            self._claimed,
+            self._claim_changed,
             self._connection_ended,
         )
         self.session.start()
 
     def kill(self) -> None:
-        """End it as the death of its process would: its connections end, and nothing is said."""
+        """Drop its connections as the death of its process would, without closing its session."""
         if self.session and self.running:
             self.lease_time.stop(clock())
             self.session.abort("killed")
 
     def close(self) -> None:
-        """Close its session in order."""
+        """Close its session gracefully."""
         if self.session and self.running:
             self.session.close()
             self.lease_time.stop(clock())
 
-    def _claimed(self, now: int, gateway: str, incarnation: int, claim: CountedLease) -> None:
+    def _claim_changed(self, now: int, gateway: str, incarnation: int, claim: CountedLease) -> None:
         self._claim = claim
         self.lease_time.claim(now, claim)
         self.on_claim(now, gateway, incarnation, claim)
@@ -125,9 +125,11 @@
         return iter(self.by_number.values())
 
     def range(self, first: int, count: int) -> list[HollowGateway]:
-        """Return the gateways of a range of numbers. Raises HollowError where one is not of this process."""
+        """Return the gateways of a range of numbers. Raises HollowError if one is not in this process."""
         numbers = range(first, first + count)
         if count < 1 or not all(number in self.by_number for number in numbers):
-            have = list(self.by_number)
-            raise HollowError(f"{count} gateways from number {first}; legal: numbers from {have[0]} to {have[-1]}")
+            own_numbers = list(self.by_number)
+            raise HollowError(
+                f"{count} gateways from number {first}; legal: numbers from {own_numbers[0]} to {own_numbers[-1]}"
+            )
         return [self.by_number[number] for number in numbers]
--- a/tansykeel/edge/hollow/lease_time.py
+++ b/tansykeel/edge/hollow/lease_time.py
@@ -1,4 +1,4 @@
-"""How long a gateway counted by no lease. Times are tenths of a millisecond of its own clock."""
+"""Measures how long a gateway had no lease. Times are tenths of a millisecond of its own clock."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 
 class LeaseTime:
-    """Adds up the time without a lease over a gateway's incarnations; the time between them does not count."""
+    """Adds up the time without a lease while a gateway runs, over all of its incarnations."""
 
     def __init__(self) -> None:
         self.without = 0
         self.longest_without = 0
-        self.first_lease: int | None = None  # from the newest start to the first lease after it
+        self.first_lease: int | None = None  # time from the last start to the first lease after it
         self._running = False
         self._started = 0
         self._covered_until = 0
 
     def start(self, now: int) -> None:
-        """The gateway runs from now on, without a lease yet."""
+        """Record that the gateway starts, without a lease."""
         self._running = True
         self._started = now
         self._covered_until = now
         self.first_lease = None
 
     def stop(self, now: int) -> None:
-        """The gateway runs no more."""
+        """Record that the gateway stops."""
         if self._running:
             self._add_gap(now)
             self._running = False
 
     def claim(self, now: int, claim: CountedLease) -> None:
-        """From now on the gateway counts by this claim, in place of the one before."""
+        """Record that the gateway uses this lease instead of the one before; one without a node is no lease."""
         if not claim.node:
             self._covered_until = min(self._covered_until, now)
             return
@@ -44,11 +44,11 @@
         return self._running and now < self._covered_until
 
     def without_until(self, now: int) -> int:
-        """Return all time without a lease up to now."""
+        """Return the total time without a lease up to now."""
         return self.without + self._open_gap(now)
 
     def longest_until(self, now: int) -> int:
-        """Return the longest time without a lease at a stretch, up to now."""
+        """Return the longest uninterrupted time without a lease up to now."""
         return max(self.longest_without, self._open_gap(now))
 
     def _open_gap(self, now: int) -> int:
--- a/tansykeel/edge/hollow/program.py
+++ b/tansykeel/edge/hollow/program.py
@@ -1,4 +1,4 @@
-"""The program of a process of hollow gateways: starts them, takes commands, closes them on SIGTERM."""
+"""The program of a process of hollow gateways: starts them, executes commands, closes them on SIGTERM."""
 
 from __future__ import annotations
 
@@ -12,22 +12,26 @@
 import structlog
 
 from tansykeel.edge.control_session import ClaimObserver
-from tansykeel.edge.hollow.commands import carry_out
+from tansykeel.edge.hollow.commands import execute
 from tansykeel.edge.hollow.gateways import HollowError, HollowGateways
 from tansykeel.edge.hollow.report import Meter
 from tansykeel.settings.records import Settings
 
-SAMPLE_EVERY = 1.0  # seconds between samples of the series
-CLOSE_WITHIN = 2.0  # seconds in which closed sessions still send what waits
-CLOSE_LOOK = 0.02  # seconds between looks whether they have
+SAMPLE_INTERVAL_S = 1.0  # between samples of the time series in the report
+CLOSE_TIMEOUT_S = 2.0  # for closed sessions to send what is queued
+CLOSE_POLL_S = 0.02  # between checks whether they have
 READ_BYTES = 64 << 10
 STANDARD_INPUT = 0
 
-Say = Callable[..., None]
+EventWriter = Callable[..., None]
 
 
 class HollowProgram:
-    """Runs until `stopping` is set; `say` writes one JSON line for whoever started the process."""
+    """Runs until `stopping` is set.
+
+    `write_event` writes one JSON line with its keyword arguments to standard output, for the process that started this
+    one. With `leashed` the program ends at the end of standard input, so that it does not outlive its parent process.
+    """
 
     def __init__(
         self,
@@ -35,21 +39,25 @@
         first: int,
         count: int,
         seed: int,
-        say: Say,
+        write_event: EventWriter,
         on_claim: ClaimObserver | None = None,
         leashed: bool = False,
     ) -> None:
-        """Raises HollowError for numbers that the settings do not have, ControlSettingsError without control."""
+        """Raises HollowError for gateway numbers that the settings do not have, ControlSettingsError if they have no
+        control plane."""
         self.log = structlog.get_logger()
         self.gateways = HollowGateways(settings, first, count, seed, self.log, on_claim)
-        self.say, self.leashed = say, leashed
+        self.write_event, self.leashed = write_event, leashed
         self.stopping = asyncio.Event()
         self.failed = False
         self.meter = Meter(self.gateways)
         self._unread = bytearray()
 
     async def serve(self, seconds: float = 0.0) -> Meter:
-        """Run until SIGTERM, or for so many seconds; return the meter, read before the sessions were closed."""
+        """Run until SIGTERM or SIGINT, or for so many seconds if not 0, and return the meter.
+
+        Sessions are closed by `end` only, so that the meter can be read before that.
+        """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stopping.set)
@@ -62,26 +70,26 @@
         sampling = loop.create_task(self._sample())
         if seconds:
             loop.call_later(seconds, self.stopping.set)
-        self.say(event="ready", gateways=len(self.gateways.by_number))
+        self.write_event(event="ready", gateways=len(self.gateways.by_number))
         await self.stopping.wait()
         sampling.cancel()
         return self.meter
 
     async def end(self) -> None:
-        """Close all sessions in order."""
+        """Close all sessions gracefully, then all connections."""
         for gateway in self.gateways:
             gateway.close()
         loop = asyncio.get_running_loop()
-        until = loop.time() + CLOSE_WITHIN
+        until = loop.time() + CLOSE_TIMEOUT_S
         while loop.time() < until and any(g.session and not g.session.ended for g in self.gateways):
-            await asyncio.sleep(CLOSE_LOOK)
+            await asyncio.sleep(CLOSE_POLL_S)
         await self.gateways.hub.stop()
 
     def _read_commands(self, loop: asyncio.AbstractEventLoop) -> None:
-        with contextlib.suppress(OSError):  # standard input is a file or closed: no commands come
-            loop.add_reader(STANDARD_INPUT, self._readable, loop)
+        with contextlib.suppress(OSError):  # standard input is a file or closed, so there are no commands
+            loop.add_reader(STANDARD_INPUT, self._read_available, loop)
 
-    def _readable(self, loop: asyncio.AbstractEventLoop) -> None:
+    def _read_available(self, loop: asyncio.AbstractEventLoop) -> None:
         data = os.read(STANDARD_INPUT, READ_BYTES)
         if not data:
             loop.remove_reader(STANDARD_INPUT)
@@ -93,15 +101,15 @@
             line = bytes(self._unread[:end])
             del self._unread[: end + 1]
             if line.strip():
-                self._command(line)
+                self._execute(line)
 
-    def _command(self, line: bytes) -> None:
+    def _execute(self, line: bytes) -> None:
         try:
-            answer = carry_out(line, self.gateways, self.meter)
+            answer = execute(line, self.gateways, self.meter)
         except HollowError as error:
-            self.say(event="failed", what=error.what, do=error.do)
+            self.write_event(event="failed", what=error.what, do=error.do)
         else:
-            self.say(event="done", **answer)
+            self.write_event(event="done", **answer)
 
     def _handler_failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         self.log.error("failed", message=context.get("message"), exc_info=context.get("exception"))
@@ -110,5 +118,5 @@
 
     async def _sample(self) -> None:
         while True:
-            await asyncio.sleep(SAMPLE_EVERY)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
             self.meter.sample()
--- a/tansykeel/edge/hollow/report.py
+++ b/tansykeel/edge/hollow/report.py
@@ -1,8 +1,8 @@
-"""What a process of hollow gateways spent, as a JSON report.
+"""Resource use of a process of hollow gateways, as a JSON report.
 
 Bytes are those of the TCP streams as the kernel counts them, without TCP/IP headers; `bytes_with_headers` adds 40 bytes
-for each segment, also for the empty ones that only acknowledge. All figures are totals since the process was ready: who
-wants a rate takes two reports and divides by the difference of their `seconds`.
+for each segment, including segments without data that only acknowledge. Bytes and processor time are totals since the
+process was ready; for a rate, take two reports and divide by the difference of their `seconds`.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from tansykeel.transport.traffic import Traffic
 
 HEADER_BYTES = 40  # of IPv4 and TCP in a segment without options
-TENTHS_IN_SECOND = 10_000
+TICKS_PER_SECOND = 10_000  # a tick of the clock is a tenth of a millisecond
 KIB = 1024
-MOST_SAMPLES = 3_600  # an hour of the series
+MAX_SAMPLES = 3_600  # an hour of the time series
 
 
 class GatewayReport(Struct, frozen=True, kw_only=True):
-    """What one gateway's control spent on the network, and how it was leased."""
+    """Network traffic of one gateway's control session, and how long the gateway was without a lease."""
 
     name: str
     number: int
@@ -40,31 +40,31 @@
     bytes_with_headers: int
     without_lease_s: float
     longest_without_lease_s: float
-    first_lease_s: float | None  # from its newest start; none: no lease since
+    first_lease_s: float | None  # from its last start; None: no lease since
 
 
 class Sample(Struct, frozen=True, kw_only=True):
-    """One second of the series; bytes and processor time are totals up to it."""
+    """One sample of the time series; bytes and processor time are totals up to it."""
 
     seconds: float
     running: int
     sessions: int
     leased: int
-    units: int  # that all of them counted
+    units: int  # sum of the leases that the gateways used
     bytes_received: int
     bytes_sent: int
     processor_s: float
 
 
 class HollowReport(Struct, frozen=True, kw_only=True):
-    """What the process spent since it was ready. Memory is that of now."""
+    """Resource use of the process since it was ready; memory, sessions, leases and units are those of the moment."""
 
     seconds: float
     gateways: int
     running: int
     sessions: int
     leased: int
-    units: int  # that all of them count now
+    units: int  # sum of the leases that the gateways use
     user_s: float
     system_s: float
     resident_bytes: int
@@ -76,7 +76,7 @@
 
 
 class FullReport(Struct, frozen=True, kw_only=True):
-    """The report with each gateway and the series."""
+    """The totals, the report of each gateway and the time series."""
 
     totals: HollowReport
     gateways: tuple[GatewayReport, ...]
@@ -84,16 +84,16 @@
 
 
 class Meter:
-    """Measures a process of hollow gateways from its creation on."""
+    """Measures the resource use of a process of hollow gateways from the creation of the meter on."""
 
     def __init__(self, gateways: HollowGateways) -> None:
         self.gateways = gateways
-        self.samples: deque[Sample] = deque(maxlen=MOST_SAMPLES)
-        self._begun = time.monotonic()
-        self._times = os.times()
+        self.samples: deque[Sample] = deque(maxlen=MAX_SAMPLES)
+        self._started = time.monotonic()
+        self._times = os.times()  # at the start
 
     def sample(self) -> None:
-        """Add one sample to the series."""
+        """Add one sample to the time series."""
         totals = self.totals()
         self.samples.append(
             Sample(
@@ -109,12 +109,12 @@
         )
 
     def totals(self) -> HollowReport:
-        """Return what was spent up to now."""
+        """Return the totals up to now."""
         now, times = clock(), os.times()
         traffic = sum((gateway.traffic for gateway in self.gateways), Traffic())
         resident, proportional = memory_bytes()
         return HollowReport(
-            seconds=time.monotonic() - self._begun,
+            seconds=time.monotonic() - self._started,
             gateways=len(self.gateways.by_number),
             running=sum(gateway.running for gateway in self.gateways),
             sessions=sum(gateway.session_open for gateway in self.gateways),
@@ -130,7 +130,7 @@
         )
 
     def full(self) -> FullReport:
-        """Return the report with each gateway and the series."""
+        """Return the totals, the report of each gateway and the time series."""
         gateways = tuple(_gateway_report(gateway) for gateway in self.gateways)
         return FullReport(totals=self.totals(), gateways=gateways, series=tuple(self.samples))
 
@@ -140,12 +140,12 @@
 
 
 def memory_bytes() -> tuple[int, int]:
-    """Return this process's resident memory, and the same with shared pages divided among those that share them."""
-    found = {}
+    """Return this process's resident set size, and its proportional set size, which divides shared pages."""
+    sizes = {}
     for line in Path("/proc/self/smaps_rollup").read_text().splitlines()[1:]:
         name, value = line.split()[:2]
-        found[name] = int(value) * KIB
-    return found["Rss:"], found["Pss:"]
+        sizes[name] = int(value) * KIB
+    return sizes["Rss:"], sizes["Pss:"]
 
 
 def _gateway_report(gateway: HollowGateway) -> GatewayReport:
@@ -162,9 +162,9 @@
         segments_received=traffic.segments_received,
         segments_sent=traffic.segments_sent,
         bytes_with_headers=_with_headers(traffic),
-        without_lease_s=lease_time.without_until(now) / TENTHS_IN_SECOND,
-        longest_without_lease_s=lease_time.longest_until(now) / TENTHS_IN_SECOND,
-        first_lease_s=None if first is None else first / TENTHS_IN_SECOND,
+        without_lease_s=lease_time.without_until(now) / TICKS_PER_SECOND,
+        longest_without_lease_s=lease_time.longest_until(now) / TICKS_PER_SECOND,
+        first_lease_s=None if first is None else first / TICKS_PER_SECOND,
     )
 
 
