--- a/tansykeel/cli/hollow.py
+++ b/tansykeel/cli/hollow.py
@@ -54,7 +54,7 @@
         meter = await program.serve(seconds)
         if report:
             meter.write(report)
-        await program.end()
+        await program.close()
         failed = program.failed
 
     try:
--- a/tansykeel/edge/hollow/program.py
+++ b/tansykeel/edge/hollow/program.py
@@ -56,7 +56,7 @@
     async def serve(self, seconds: float = 0.0) -> Meter:
         """Run until SIGTERM or SIGINT, or for so many seconds if not 0, and return the meter.
 
-        Sessions are closed by `end` only, so that the meter can be read before that.
+        Sessions are closed by `close` only, so that the meter can be read before that.
         """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -75,7 +75,7 @@
         sampling.cancel()
         return self.meter
 
-    async def end(self) -> None:
+    async def close(self) -> None:
         """Close all sessions gracefully, then all connections."""
         for gateway in self.gateways:
             gateway.close()
