--- a/tests/edge/test_control_session.py
+++ b/tests/edge/test_control_session.py
@@ -1,4 +1,4 @@
-"""A gateway's session with scripted control nodes on loopback: what it sends, counts by, logs, and how it ends."""
+"""A gateway's session with scripted control nodes on loopback: what it sends and logs, which lease it uses, its end."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 GATEWAYS = 20
 
 
-class Stage:
-    """Three scripted nodes and the session of gateway 3, with all claims that it made."""
+class Setup:
+    """Three scripted control nodes and the session of gateway 3, with the leases that it used one after another."""
 
     def __init__(self):
         self.nodes = {f"n{number}": ScriptedNode(f"n{number}", free_address()) for number in range(3)}
@@ -55,51 +55,51 @@
         return self.session.client.counts(clock()).node == node.name
 
     def without_lease(self):
-        """Claims of the safe part alone after the first lease."""
-        held = [claim for _, _, _, claim in self.claims]
-        first = next(place for place, claim in enumerate(held) if claim.node)
-        return [claim for claim in held[first:] if not claim.node]
+        """Return the claims without a lease that followed the first lease."""
+        claims = [claim for _, _, _, claim in self.claims]
+        first = next(index for index, claim in enumerate(claims) if claim.node)
+        return [claim for claim in claims[first:] if not claim.node]
 
 
 @asynccontextmanager
-async def stage():
-    made = Stage()
-    made.hub.start()
+async def running_setup():
+    setup = Setup()
+    setup.hub.start()
     try:
-        yield made
+        yield setup
     finally:
-        made.session.abort("the test ends")
-        await made.hub.stop()
-        for node in made.nodes.values():
+        setup.session.abort("the test ends")
+        await setup.hub.stop()
+        for node in setup.nodes.values():
             await node.stop()
 
 
-def test_a_session_opens_at_the_first_choice_and_the_gateway_earns_by_its_lease():
-    async def go():
-        async with stage() as made:
-            await made.start_nodes()
-            begun = clock()
-            made.session.start()
-            await until(lambda: made.leased_by(made.first))
-            assert made.session.is_open and made.first.received[0][:2] == ("edge-3", 77)
-            assert made.first.of(SessionOpen)[0] == SessionOpen("ours", "edge-3", "north")
-            assert not made.second.received and not made.third.received
-            _, even_parts = made.session.allotments.earned(begun, clock())
+def test_a_session_opens_at_the_preferred_node_and_its_lease_sets_the_share_of_the_gateway():
+    async def scenario():
+        async with running_setup() as setup:
+            await setup.start_nodes()
+            started_at = clock()
+            setup.session.start()
+            await until(lambda: setup.leased_by(setup.first))
+            assert setup.session.is_open and setup.first.received[0][:2] == ("edge-3", 77)
+            assert setup.first.of(SessionOpen)[0] == SessionOpen("ours", "edge-3", "north")
+            assert not setup.second.received and not setup.third.received
+            _, even_parts = setup.session.allotments.earned(started_at, clock())
             assert even_parts == pytest.approx(float(part_of(UNITS, GATEWAYS) * GATEWAYS))
-            await until(lambda: len(made.first.of(Heartbeat)) >= 4)
-            beats = [beat.asked_at for beat in made.first.of(Heartbeat)]
+            await until(lambda: len(setup.first.of(Heartbeat)) >= 4)
+            beats = [beat.asked_at for beat in setup.first.of(Heartbeat)]
             assert min(b - a for a, b in zip(beats, beats[1:], strict=False)) >= HEARTBEAT_MS * 10
-            assert {claim[1:3] for claim in made.claims} == {("edge-3", 77)} and not made.without_lease()
-            assert made.claims[-1][3].units == UNITS
+            assert {claim[1:3] for claim in setup.claims} == {("edge-3", 77)} and not setup.without_lease()
+            assert setup.claims[-1][3].units == UNITS
 
-    play(go())
+    play(scenario())
 
 
-async def lose_silently(node):
+async def stop_answering(node):
     node.silent = True
 
 
-async def lose_in_order(node):
+async def say_goodbye(node):
     for link in node.links:
         link.send(0, Goodbye())
 
@@ -108,123 +108,123 @@
     "lose, events",
     [
         (ScriptedNode.stop, ["control connection lost", "session lost", "session opened"]),
-        (lose_silently, ["session lost", "control connection closed", "session opened"]),
-        (lose_in_order, ["session lost", "control connection closed", "session opened"]),
+        (stop_answering, ["session lost", "control connection closed", "session opened"]),
+        (say_goodbye, ["session lost", "control connection closed", "session opened"]),
     ],
 )
 def test_a_lost_node_is_replaced_by_another_before_its_lease_ends(lose, events):
-    async def go():
-        async with stage() as made:
-            await made.start_nodes()
-            made.session.start()
-            await until(lambda: made.leased_by(made.first))
+    async def scenario():
+        async with running_setup() as setup:
+            await setup.start_nodes()
+            setup.session.start()
+            await until(lambda: setup.leased_by(setup.first))
             with capture_logs() as logs:
-                await lose(made.first)
-                await until(lambda: made.leased_by(made.second) or made.leased_by(made.third))
-            await until(lambda: not made.first.links)
-            assert not made.without_lease() and [log["event"] for log in logs][:3] == events
-            assert len(made.ended_traffic) == 1 and made.ended_traffic[0].bytes_sent > 100
+                await lose(setup.first)
+                await until(lambda: setup.leased_by(setup.second) or setup.leased_by(setup.third))
+            await until(lambda: not setup.first.links)
+            assert not setup.without_lease() and [log["event"] for log in logs][:3] == events
+            assert len(setup.ended_traffic) == 1 and setup.ended_traffic[0].bytes_sent > 100
 
-    play(go())
+    play(scenario())
 
 
-def test_a_session_comes_back_after_the_time_it_was_told():
-    async def go():
-        async with stage() as made:
-            await made.start_nodes()
-            for node in made.nodes.values():
+def test_a_rejected_session_is_opened_again_after_the_time_that_the_node_gave():
+    async def scenario():
+        async with running_setup() as setup:
+            await setup.start_nodes()
+            for node in setup.nodes.values():
                 node.reject("too many new sessions", 50_000)
             with capture_logs() as logs:
-                made.session.start()
-                await until(lambda: made.first.of(SessionOpen))
-                for node in made.nodes.values():
+                setup.session.start()
+                await until(lambda: setup.first.of(SessionOpen))
+                for node in setup.nodes.values():
                     node.rejects = None
-                await until(lambda: made.session.is_open)
+                await until(lambda: setup.session.is_open)
             rejected = [log for log in logs if log["event"] == "session rejected"]
             assert rejected[0]["reason"] == "too many new sessions" and rejected[0]["retry_after_ms"] == 50
 
-    play(go())
+    play(scenario())
 
 
-def test_a_node_of_another_cluster_is_an_error_with_advice_and_the_next_one_is_asked():
-    async def go():
-        async with stage() as made:
-            made.first.cluster = "theirs"
-            await made.start_nodes()
+def test_a_node_of_another_cluster_is_logged_as_an_error_with_advice_and_not_used():
+    async def scenario():
+        async with running_setup() as setup:
+            setup.first.cluster = "theirs"
+            await setup.start_nodes()
             with capture_logs() as logs:
-                made.session.start()
-                await until(lambda: made.session.client.state is SessionState.REJECTED)
+                setup.session.start()
+                await until(lambda: setup.session.client.state is SessionState.REJECTED)
             errors = [log for log in logs if log["log_level"] == "error"]
             assert len(errors) == 1 and "theirs" in errors[0]["what"] and "control(...)" in errors[0]["do"]
-            assert not made.leased_by(made.first)
+            assert not setup.leased_by(setup.first)
 
-    play(go())
+    play(scenario())
 
 
-def test_an_address_of_something_else_than_a_control_node_is_named_and_the_next_one_is_asked():
-    async def go():
-        async with stage() as made:
-            made.first.role = "store"
-            await made.start_nodes()
+def test_an_address_where_no_control_node_listens_is_logged_and_the_next_node_is_asked():
+    async def scenario():
+        async with running_setup() as setup:
+            setup.first.role = "store"
+            await setup.start_nodes()
             with capture_logs() as logs:
-                made.session.start()
-                await until(lambda: made.session.is_open)
+                setup.session.start()
+                await until(lambda: setup.session.is_open)
             lost = [log for log in logs if log["event"] == "control connection lost"]
-            assert "role 'store'" in lost[0]["reason"] and lost[0]["node"] == made.first.name
-            assert not made.leased_by(made.first)
-
-    play(go())
-
-
-def test_a_closed_session_counts_by_nothing_before_its_node_hears_of_it_and_sends_no_more():
-    async def go():
-        async with stage() as made:
-            await made.start_nodes()
-            made.session.start()
-            await until(lambda: made.leased_by(made.first))
-            made.session.close()
-            assert not made.claims[-1][3].node and not made.session.ended
-            await until(lambda: made.session.ended)
-            await until(lambda: not made.first.links)
-            assert isinstance(made.first.received[-1][2], SessionClose)
-            received = len(made.first.received)
+            assert "role 'store'" in lost[0]["reason"] and lost[0]["node"] == setup.first.name
+            assert not setup.leased_by(setup.first)
+
+    play(scenario())
+
+
+def test_a_closed_session_uses_no_lease_before_its_node_hears_of_it_and_sends_nothing_more():
+    async def scenario():
+        async with running_setup() as setup:
+            await setup.start_nodes()
+            setup.session.start()
+            await until(lambda: setup.leased_by(setup.first))
+            setup.session.close()
+            assert not setup.claims[-1][3].node and not setup.session.ended
+            await until(lambda: setup.session.ended)
+            await until(lambda: not setup.first.links)
+            assert isinstance(setup.first.received[-1][2], SessionClose)
+            received = len(setup.first.received)
             await asyncio.sleep(3 * HEARTBEAT_MS / 1_000)
-            assert len(made.first.received) == received and not made.second.received
+            assert len(setup.first.received) == received and not setup.second.received
 
-    play(go())
+    play(scenario())
 
 
-def test_an_aborted_session_says_nothing():
-    async def go():
-        async with stage() as made:
-            await made.start_nodes()
-            made.session.start()
-            await until(lambda: made.leased_by(made.first))
-            made.session.abort("killed")
-            await until(lambda: not made.first.links)
-            assert not made.first.of(SessionClose) and made.session.ended
+def test_an_aborted_session_sends_no_session_close():
+    async def scenario():
+        async with running_setup() as setup:
+            await setup.start_nodes()
+            setup.session.start()
+            await until(lambda: setup.leased_by(setup.first))
+            setup.session.abort("killed")
+            await until(lambda: not setup.first.links)
+            assert not setup.first.of(SessionClose) and setup.session.ended
 
-    play(go())
+    play(scenario())
 
 
-def test_claims_are_recorded_as_they_change(tmp_path):
-    async def go():
-        async with stage() as made:
-            await made.start_nodes()
-            made.session.on_claim = claim_recorder(tmp_path / "claims")
-            made.session.start()
-            await until(lambda: made.leased_by(made.first))
-            made.session.close()
+def test_each_change_of_the_lease_in_use_is_recorded(tmp_path):
+    async def scenario():
+        async with running_setup() as setup:
+            await setup.start_nodes()
+            setup.session.on_claim = claim_recorder(tmp_path / "claims")
+            setup.session.start()
+            await until(lambda: setup.leased_by(setup.first))
+            setup.session.close()
 
-    play(go())
+    play(scenario())
     claims = list(read(tmp_path / "claims"))
     assert all(isinstance(claim, LeaseClaimed) and claim.incarnation == 77 for claim in claims)
     assert not claims[0].node and claims[1].units == UNITS and claims[-1].until == 0
     assert 0 < claims[1].until - claims[1].at <= LEASE_MS * 1_000
 
 
-def test_a_gateway_serves_with_its_safe_part_until_control_nodes_are_there_and_closes_its_session_at_its_end():
-    async def go():
+def test_a_gateway_uses_its_safe_part_until_control_nodes_run_and_closes_its_session_when_it_stops():
+    async def scenario():
         store = await FakeStore("s0", 0, deliver).start()
         nodes = [ScriptedNode(f"n{number}", free_address()) for number in range(3)]
         text = control_settings(
@@ -249,4 +249,4 @@
             await node.stop()
         await store.stop()
 
-    play(go())
+    play(scenario())
