--- a/tansykeel/control_plane/program.py
+++ b/tansykeel/control_plane/program.py
@@ -88,7 +88,7 @@
             self.hello,
             control_of(settings).connect_timeout_ms / 1000,
             self._from_node,
-            answered_by="control",
+            listener_role="control",
             greeting=own,
         )
         members = ClusterConnections(node.member, peers, self.log)
@@ -209,7 +209,7 @@
             self.agent.leave()
         await asyncio.sleep(LINGER_SECONDS)
         self.agent.end()
-        self.peers.end()
+        self.peers.close()
         for link in list(self.hub.links):
             link.close()
         end = asyncio.get_running_loop().time() + STOP_SECONDS
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -15,11 +15,11 @@
 from tansykeel.cluster.member import MemberStillAlive
 from tansykeel.cluster.send_queue import Urgency
 from tansykeel.edge.clock import Reminder, clock
-from tansykeel.edge.cluster_agent import ClusterAgent, Counted
-from tansykeel.edge.control_session import ClaimObserver, ControlSession, control_session_of
+from tansykeel.edge.cluster_agent import ClusterAgent, PartObserver
+from tansykeel.edge.control_session import ClaimObserver, ControlSession, create_control_session
 from tansykeel.edge.core import Core
 from tansykeel.edge.listing import Listing
-from tansykeel.edge.maintenance import LOOKS_EVERY, MaintenanceAgent
+from tansykeel.edge.maintenance import UPDATE_INTERVAL_S, MaintenanceAgent
 from tansykeel.edge.native import Native, answer_of, bounds_of, known_of
 from tansykeel.edge.peers import Peers
 from tansykeel.edge.stores import Stores
@@ -64,7 +64,7 @@
         trace: Trace | None = None,
         sample: int = 100,
         decide: Callable[..., Decisions] = Scheduler,
-        counted: Counted | None = None,
+        counted: PartObserver | None = None,
         claimed: ClaimObserver | None = None,
     ) -> None:
         self.settings, self.gateway = settings, settings.gateway
@@ -110,7 +110,7 @@
                 )
         self.control_session: ControlSession | None = None
         if settings.control:
-            self.control_session = control_session_of(
+            self.control_session = create_control_session(
                 settings, facts.me, self.incarnation, seed, self.hub, self.log, claimed
             )
         self.core = Core(
@@ -135,7 +135,7 @@
                 dict(zip(settings.names(), settings.peers.addresses, strict=True)),
                 self.served,
                 self._tell_gateway,
-                lambda sent: self.cluster_agent.say(sent) if self.cluster_agent else None,
+                lambda sent: self.cluster_agent.send(sent) if self.cluster_agent else None,
                 self.log,
             )
         self.stores = Stores(self.core, self.hub, self.gateway, self.hello, clock)
@@ -189,9 +189,9 @@
         if self.listing:
             self.listing.end()
         if self.cluster_agent:
-            self.cluster_agent.end()
+            self.cluster_agent.stop()
         if self.peers:
-            self.peers.end()
+            self.peers.close()
         if session := self.control_session:
             await self._wait_for(lambda: session.ended, CLOSES)
         await self.hub.stop()
@@ -247,7 +247,7 @@
 
     def tell_peer(self, peer: int | None, word: Word) -> None:
         if self.peers:
-            self.peers.tell(peer, Urgency.HINT, self.native.share_of(word))
+            self.peers.send(peer, Urgency.HINT, self.native.share_of(word))
 
     def note(self, event: str, **fields: Any) -> None:
         self.log.info(event, **fields)
@@ -281,7 +281,7 @@
                 self.core.left(clock(), link, event.stream)
             case Hello() as hello:
                 if self.peers and hello.role == "peer":
-                    self.peers.came(link, hello)
+                    self.peers.accept(link, hello)
             case Share() | Watch() as word:
                 self._peer_message(link, word)
             case Cut():
@@ -300,7 +300,7 @@
                     except MemberStillAlive as error:
                         raise ProtocolError(f"FLEET_WITHOUT: {error}; {error.do}") from None
                     self.log.info("goes without", names=list(told.names))
-                link.send(event.stream, self.cluster_agent.told_of())
+                link.send(event.stream, self.cluster_agent.status())
 
     def _peer_message(self, link: Link, word: Any) -> None:
         """Another gateway says something, on whichever connection there is."""
@@ -310,7 +310,7 @@
                     self.core.heard(clock(), word.sender, told)
             case Watch():
                 if self.cluster_agent and link.peer:
-                    self.cluster_agent.heard(link.peer, word)
+                    self.cluster_agent.received(link.peer, word)
             case Accord():
                 self._maintenance_message(link, 0, word)
             case Goodbye():
@@ -334,15 +334,15 @@
             raise ProtocolError(f"ACCORD: {error}") from None
         if isinstance(word, Figures):
             if link.peer and link.peer.role != "client":
-                self.maintenance_agent.told_by(link.peer.name, word)
+                self.maintenance_agent.figures_received(link.peer.name, word)
             return
-        self.maintenance_agent.heard(
+        self.maintenance_agent.received(
             word, lambda answer: None if link.lost else link.send(stream, AccordTold(*CODEC.encode(answer)))
         )
 
     def _tell_gateway(self, name: str, word: MaintenanceMessage) -> None:
         if self.peers and name in self.peers.by_name:
-            self.peers.by_name[name].tell(Urgency.HINT, Accord(*CODEC.encode(word)))
+            self.peers.by_name[name].send(Urgency.HINT, Accord(*CODEC.encode(word)))
 
     def _gone(self, link: Link, why: str) -> None:
         self.clients.discard(link)
@@ -363,8 +363,8 @@
 
     async def _look(self) -> None:
         while self.maintenance_agent:
-            await asyncio.sleep(LOOKS_EVERY)
-            self.maintenance_agent.look()
+            await asyncio.sleep(UPDATE_INTERVAL_S)
+            self.maintenance_agent.update()
 
     async def _wait_for(self, done: Callable[[], bool], seconds: float) -> None:
         end = asyncio.get_running_loop().time() + seconds
