--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class DetectorConfig:
     """Tenths, but for counts. A suspicion lasts `least` to `most` periods, times the logarithm of the fleet's size."""
 
     period: int = SECOND
@@ -94,7 +94,9 @@
 
 
 class FailureDetector:
-    def __init__(self, me: str, names: Iterable[str], life: int, pace: Pace, chance: Random, now: int) -> None:
+    def __init__(
+        self, me: str, names: Iterable[str], life: int, pace: DetectorConfig, chance: Random, now: int
+    ) -> None:
         self.me, self.life, self.pace, self.chance = me, life, pace, chance
         self.others = {name: Other(name, since=now) for name in names if name != me}
         self.denials = self.doubt = self.seq = 0
--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -13,7 +13,15 @@
 
 from tansykeel.cluster import replicated_log
 from tansykeel.cluster.allotments import Allotments
-from tansykeel.cluster.failure_detector import Ack, DetectorMessage, FailureDetector, NoAnswer, Pace, Ping, Try
+from tansykeel.cluster.failure_detector import (
+    Ack,
+    DetectorConfig,
+    DetectorMessage,
+    FailureDetector,
+    NoAnswer,
+    Ping,
+    Try,
+)
 from tansykeel.cluster.gossip import MemberState
 from tansykeel.cluster.membership import SAFE, Decided, Member, ViewMessage
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
@@ -50,7 +58,7 @@
         name: str,
         places: Mapping[str, Place],
         life: int,
-        pace: Pace,
+        pace: DetectorConfig,
         terms: LeaseTerms,
         chance: Random,
         now: int,
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any, cast
 
-from tansykeel.cluster.failure_detector import FailureDetector, Pace
+from tansykeel.cluster.failure_detector import DetectorConfig, FailureDetector
 from tansykeel.cluster.member import ClusterMember, Place, Sent
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.replicated_log import ReplicatedLog, StateMachine
@@ -55,7 +55,7 @@
         name: str,
         places: Mapping[str, Place],
         life: int,
-        pace: Pace,
+        pace: DetectorConfig,
         terms: LeaseTerms,
         chance: Random,
         now: int,
@@ -255,7 +255,7 @@
             incarnation=member.incarnation,
             nodes=places,
             gateways=frozenset(self.gateways),
-            pace=Pace(),
+            pace=DetectorConfig(),
             terms=self.leases,
             session_terms=self.sessions,
             chance=MIDDLE,
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import ClassVar, Literal
 
-from tansykeel.cluster.failure_detector import Pace
+from tansykeel.cluster.failure_detector import DetectorConfig
 from tansykeel.cluster.gossip import MemberState
 from tansykeel.cluster.member import ClusterMember, ClusterMessage, Place, Sent
 from tansykeel.cluster.membership import Member
@@ -66,7 +66,7 @@
         incarnation: int,
         nodes: Mapping[str, Place],
         gateways: Container[str],
-        pace: Pace,
+        pace: DetectorConfig,
         terms: LeaseTerms,
         session_terms: SessionTerms,
         chance: Random,
--- a/tansykeel/emulator/cluster_simulation.py
+++ b/tansykeel/emulator/cluster_simulation.py
@@ -11,7 +11,7 @@
 
 import numpy
 
-from tansykeel.cluster.failure_detector import SECOND, Pace
+from tansykeel.cluster.failure_detector import SECOND, DetectorConfig
 from tansykeel.cluster.gossip import MemberState
 from tansykeel.cluster.member import ClusterMember, ClusterMessage, Place, Sent
 from tansykeel.cluster.membership import Member
@@ -26,7 +26,7 @@
 SAMPLE = 500_000  # microseconds between looks at the sum of all parts
 HEADER = 28  # bytes that a datagram has beside what is told
 MOST_EVENTS = 50_000_000
-PACE, TERMS = Pace(), LeaseTerms(lease=4 * SECOND)
+PACE, TERMS = DetectorConfig(), LeaseTerms(lease=4 * SECOND)
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 
 
 class Watchers:
-    def __init__(self, trial: Trial, seed: int, pace: Pace = PACE, terms: LeaseTerms = TERMS) -> None:
+    def __init__(self, trial: Trial, seed: int, pace: DetectorConfig = PACE, terms: LeaseTerms = TERMS) -> None:
         self.trial, self.engine, self.chance = trial, Engine(), stream(seed, WATCHING)
         self.names = [f"edge-{n}" for n in range(trial.gateways)]
         self.bytes = 0  # in the second half, when the news of the start have been told
--- a/tansykeel/emulator/control_trial.py
+++ b/tansykeel/emulator/control_trial.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from random import Random
 
-from tansykeel.cluster.failure_detector import Pace
+from tansykeel.cluster.failure_detector import DetectorConfig
 from tansykeel.cluster.member import Place
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import WHOLE_UNITS, SessionTerms
@@ -89,9 +89,9 @@
         return LeaseTerms(self.terms.lease, self.terms.drift, NODES_PER_REGION)
 
     @property
-    def pace(self) -> Pace:
+    def pace(self) -> DetectorConfig:
         """Return how control nodes look at each other, as `settings.control` makes it of a ping of 300 ms."""
-        return Pace(period=PING, answer=PING // 2, steady=2 * PING, forgives=60 * PING)
+        return DetectorConfig(period=PING, answer=PING // 2, steady=2 * PING, forgives=60 * PING)
 
     def regions(self) -> tuple[str, ...]:
         """Return the names of the regions."""
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from tansykeel.cluster.failure_detector import SECOND
-from tansykeel.cluster.failure_detector import Pace as Ping
+from tansykeel.cluster.failure_detector import DetectorConfig as Ping
 from tansykeel.cluster.gossip import MemberState
 from tansykeel.cluster.member import ClusterMember, ClusterMessage
 from tansykeel.cluster.member import Place as Where
--- a/tansykeel/settings/cluster.py
+++ b/tansykeel/settings/cluster.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from tansykeel.cluster.failure_detector import Pace
+from tansykeel.cluster.failure_detector import DetectorConfig
 from tansykeel.cluster.member import ClusterMember, Place
 from tansykeel.cluster.replicated_log import StateMachine
 from tansykeel.cluster.view_agreement import LeaseTerms
@@ -48,5 +48,5 @@
         for n, name in enumerate(names)
     }
     ping = int(settings.ping_ms * MS)
-    pace = Pace(period=ping, answer=max(ping * 3 // 10, 1), steady=2 * ping, forgives=60 * ping)
+    pace = DetectorConfig(period=ping, answer=max(ping * 3 // 10, 1), steady=2 * ping, forgives=60 * ping)
     return ClusterMember(names[me], places, life, pace, terms_of(settings), chance, now, machine)
--- a/tansykeel/settings/control.py
+++ b/tansykeel/settings/control.py
@@ -8,7 +8,7 @@
 import math
 from random import Random
 
-from tansykeel.cluster.failure_detector import Pace
+from tansykeel.cluster.failure_detector import DetectorConfig
 from tansykeel.cluster.member import Place
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import WHOLE_UNITS, SessionTerms
@@ -62,11 +62,13 @@
     return LeaseTerms(int(control.lease_ms * TENTHS_IN_MS), control.drift)
 
 
-def pace_of(settings: Settings) -> Pace:
+def pace_of(settings: Settings) -> DetectorConfig:
     """Return how the control nodes of a region look at each other. Raises ControlSettingsError."""
     period = int(control_of(settings).ping_ms * TENTHS_IN_MS)
     answer = max(period // ANSWER_PART, 1)
-    return Pace(period=period, answer=answer, steady=STEADY_PERIODS * period, forgives=FORGIVEN_PERIODS * period)
+    return DetectorConfig(
+        period=period, answer=answer, steady=STEADY_PERIODS * period, forgives=FORGIVEN_PERIODS * period
+    )
 
 
 def region_units(settings: Settings, region: str) -> int:
--- a/tests/cluster/test_failure_detector.py
+++ b/tests/cluster/test_failure_detector.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tansykeel.cluster.failure_detector import SECOND, Ack, FailureDetector, NoAnswer, Pace, Ping, Try
+from tansykeel.cluster.failure_detector import SECOND, Ack, DetectorConfig, FailureDetector, NoAnswer, Ping, Try
 from tansykeel.cluster.gossip import GossipItem, MemberState
 from tansykeel.emulator.cluster_simulation import Trial, watched
 
@@ -14,7 +14,7 @@
 
 
 def one(name="a", **pace):
-    return FailureDetector(name, NAMES, 1, Pace(**pace), Random(1), 0)
+    return FailureDetector(name, NAMES, 1, DetectorConfig(**pace), Random(1), 0)
 
 
 def alive(*names, life=1):
@@ -118,7 +118,7 @@
 
 
 def test_a_denial_is_told_before_greetings():
-    watcher = FailureDetector("a", [f"g{n}" for n in range(50)], 1, Pace(), Random(1), 0)
+    watcher = FailureDetector("a", [f"g{n}" for n in range(50)], 1, DetectorConfig(), Random(1), 0)
     watcher.heard(0, "g1", Ping(1, tuple(GossipItem(f"g{n}", MemberState.ALIVE, 1, 0) for n in range(2, 50))))
     watcher.heard(0, "g1", Ping(2, (GossipItem("a", MemberState.SUSPECT, 1, 0, "g1"),)))
     ((_, ack),) = watcher.heard(0, "g2", Ping(3))
--- a/tests/cluster/test_member.py
+++ b/tests/cluster/test_member.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tansykeel.cluster.failure_detector import SECOND, Pace, Ping
+from tansykeel.cluster.failure_detector import SECOND, DetectorConfig, Ping
 from tansykeel.cluster.gossip import GossipItem, MemberState
 from tansykeel.cluster.member import ClusterMember, Place
 from tansykeel.cluster.membership import SAFE, Member, View, voters_of
@@ -34,7 +34,7 @@
 
 
 def test_a_fleet_that_lost_most_at_once_keeps_to_its_safe_parts_until_they_are_back():
-    world = Watchers(Trial(5, seconds=40, dead=0), 1, Pace(), LeaseTerms(lease=4 * SECOND))
+    world = Watchers(Trial(5, seconds=40, dead=0), 1, DetectorConfig(), LeaseTerms(lease=4 * SECOND))
     for name in ("edge-0", "edge-1", "edge-2"):
         world.engine.at(world.engine.now + 15 * 10**6, world._die, name)
         world.engine.at(world.engine.now + 30 * 10**6, world._back, name)
@@ -89,7 +89,8 @@
 def test_only_voters_in_turn_propose_and_others_wait():
     names = {name: Place() for name in "abc"}
     cluster_members = {
-        name: ClusterMember(name, names, 1, Pace(steady=0), LeaseTerms(lease=300), Random(1), 0) for name in names
+        name: ClusterMember(name, names, 1, DetectorConfig(steady=0), LeaseTerms(lease=300), Random(1), 0)
+        for name in names
     }
     members = tuple(cluster_member.me for cluster_member in cluster_members.values())
     for name, cluster_member in cluster_members.items():
--- a/tests/control/test_node.py
+++ b/tests/control/test_node.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tansykeel.cluster.failure_detector import Pace
+from tansykeel.cluster.failure_detector import DetectorConfig
 from tansykeel.cluster.member import Place
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import CloseConnection, SendToGateway, SessionTerms
@@ -40,7 +40,7 @@
             incarnation=7,
             nodes={"a": Place()},
             gateways=frozenset(f"g{number}" for number in range(20)),
-            pace=Pace(period=3_000, answer=1_500, steady=6_000),
+            pace=DetectorConfig(period=3_000, answer=1_500, steady=6_000),
             terms=LeaseTerms(30_000, 0.01),
             session_terms=TERMS,
             chance=Random(1),
