--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -58,7 +58,7 @@
     """Tenths, but for counts. A suspicion lasts `least` to `most` periods, times the logarithm of the fleet's size."""
 
     period: int = SECOND
-    answer: int = 3_000  # an answer comes within this, or others are asked
+    ack_timeout: int = 3_000  # an answer comes within this, or others are asked
     helpers: int = 3
     least: float = 2.0
     most: float = 6.0
@@ -134,7 +134,7 @@
 
     def tick(self, now: int) -> list[Sent]:
         late = now - self.due()
-        if late > self.pace.answer:
+        if late > self.pace.ack_timeout:
             return self._slept(now, late)
         sent: list[Sent] = []
         for seq, probe in [(s, p) for s, p in self.probes.items() if now >= p.due]:
@@ -192,7 +192,7 @@
 
     def _ping(self, now: int, other: Other, asked_for: tuple[str, int] | None) -> Sent:
         self.seq += 1
-        wait = self.pace.answer * (1 if asked_for else 1 + self.doubt)
+        wait = self.pace.ack_timeout * (1 if asked_for else 1 + self.doubt)
         self.probes[self.seq] = Probe(other, now + wait, asked_for=asked_for)
         return other.name, Ping(self.seq, self._news(other.name))
 
@@ -205,7 +205,7 @@
             helpers = [o for o in self.others.values() if o.seems is MemberState.ALIVE and o is not probe.other]
             helpers = self.chance.sample(helpers, min(self.pace.helpers, len(helpers)))
             probe.helped, probe.silent = True, len(helpers)
-            probe.due = now + 2 * self.pace.answer * (1 + self.doubt)
+            probe.due = now + 2 * self.pace.ack_timeout * (1 + self.doubt)
             return [(o.name, Try(seq, probe.other.name, self._news(o.name))) for o in helpers]
         del self.probes[seq]
         # Helpers that are silent too tell of this gateway's own links.
