--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -67,7 +67,7 @@
     news: int = 6  # told with one message; where more wait, a third of them, `crowd` at most
     crowd: int = 64
     repeats: float = 3.0  # times the logarithm of the size, each is told
-    steady: int = 2 * SECOND  # who is alive for so long, and as much again for each fall lately, counts as steady
+    stable_after: int = 2 * SECOND  # who is alive for so long, and as much again for each fall lately, counts as steady
     forgives: int = 60 * SECOND  # a fall is forgotten after this
 
 
@@ -116,7 +116,7 @@
 
         def long_enough(other: Other) -> bool:
             other.falls = [at for at in other.falls if now - at < self.pace.forgives]
-            return now - other.since >= self.pace.steady * 2 ** min(len(other.falls), 5)
+            return now - other.since >= self.pace.stable_after * 2 ** min(len(other.falls), 5)
 
         found = [o.name for o in self.others.values() if o.seems is MemberState.ALIVE and o.life and long_enough(o)]
         return sorted([self.me, *found])
--- a/tests/cluster/test_member.py
+++ b/tests/cluster/test_member.py
@@ -89,7 +89,7 @@
 def test_only_voters_in_turn_propose_and_others_wait():
     names = {name: Place() for name in "abc"}
     cluster_members = {
-        name: ClusterMember(name, names, 1, DetectorConfig(steady=0), LeaseTerms(lease=300), Random(1), 0)
+        name: ClusterMember(name, names, 1, DetectorConfig(stable_after=0), LeaseTerms(lease=300), Random(1), 0)
         for name in names
     }
     members = tuple(cluster_member.me for cluster_member in cluster_members.values())
--- a/tests/control/test_node.py
+++ b/tests/control/test_node.py
@@ -40,7 +40,7 @@
             incarnation=7,
             nodes={"a": Place()},
             gateways=frozenset(f"g{number}" for number in range(20)),
-            pace=DetectorConfig(period=3_000, ack_timeout=1_500, steady=6_000),
+            pace=DetectorConfig(period=3_000, ack_timeout=1_500, stable_after=6_000),
             terms=LeaseTerms(30_000, 0.01),
             session_terms=TERMS,
             chance=Random(1),
