--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -68,7 +68,7 @@
     crowd: int = 64
     repeats: float = 3.0  # times the logarithm of the size, each is told
     stable_after: int = 2 * SECOND  # who is alive for so long, and as much again for each fall lately, counts as steady
-    forgives: int = 60 * SECOND  # a fall is forgotten after this
+    flap_window: int = 60 * SECOND  # a fall is forgotten after this
 
 
 @dataclass(eq=False, slots=True)
@@ -115,7 +115,7 @@
         """Who may be taken into a view: alive for long enough, and longer the more often it fell lately."""
 
         def long_enough(other: Other) -> bool:
-            other.falls = [at for at in other.falls if now - at < self.pace.forgives]
+            other.falls = [at for at in other.falls if now - at < self.pace.flap_window]
             return now - other.since >= self.pace.stable_after * 2 ** min(len(other.falls), 5)
 
         found = [o.name for o in self.others.values() if o.seems is MemberState.ALIVE and o.life and long_enough(o)]
--- a/tansykeel/emulator/control_trial.py
+++ b/tansykeel/emulator/control_trial.py
@@ -91,7 +91,7 @@
     @property
     def pace(self) -> DetectorConfig:
         """Return how control nodes look at each other, as `settings.control` makes it of a ping of 300 ms."""
-        return DetectorConfig(period=PING, ack_timeout=PING // 2, stable_after=2 * PING, forgives=60 * PING)
+        return DetectorConfig(period=PING, ack_timeout=PING // 2, stable_after=2 * PING, flap_window=60 * PING)
 
     def regions(self) -> tuple[str, ...]:
         """Return the names of the regions."""
--- a/tansykeel/settings/cluster.py
+++ b/tansykeel/settings/cluster.py
@@ -48,5 +48,5 @@
         for n, name in enumerate(names)
     }
     ping = int(settings.ping_ms * MS)
-    pace = DetectorConfig(period=ping, ack_timeout=max(ping * 3 // 10, 1), stable_after=2 * ping, forgives=60 * ping)
+    pace = DetectorConfig(period=ping, ack_timeout=max(ping * 3 // 10, 1), stable_after=2 * ping, flap_window=60 * ping)
     return ClusterMember(names[me], places, life, pace, terms_of(settings), chance, now, machine)
--- a/tansykeel/settings/control.py
+++ b/tansykeel/settings/control.py
@@ -67,7 +67,7 @@
     period = int(control_of(settings).ping_ms * TENTHS_IN_MS)
     answer = max(period // ANSWER_PART, 1)
     return DetectorConfig(
-        period=period, ack_timeout=answer, stable_after=STEADY_PERIODS * period, forgives=FORGIVEN_PERIODS * period
+        period=period, ack_timeout=answer, stable_after=STEADY_PERIODS * period, flap_window=FORGIVEN_PERIODS * period
     )
 
 
