--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Placement:
     """What the settings say of a gateway."""
 
     zone: int = 0
@@ -56,7 +56,7 @@
     def __init__(
         self,
         name: str,
-        places: Mapping[str, Place],
+        places: Mapping[str, Placement],
         life: int,
         pace: DetectorConfig,
         terms: LeaseTerms,
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -13,7 +13,7 @@
 from typing import Any, cast
 
 from tansykeel.cluster.failure_detector import DetectorConfig, FailureDetector
-from tansykeel.cluster.member import ClusterMember, Place, Sent
+from tansykeel.cluster.member import ClusterMember, Placement, Sent
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.replicated_log import ReplicatedLog, StateMachine
 from tansykeel.cluster.view_agreement import LeaseTerms
@@ -53,7 +53,7 @@
     def __init__(
         self,
         name: str,
-        places: Mapping[str, Place],
+        places: Mapping[str, Placement],
         life: int,
         pace: DetectorConfig,
         terms: LeaseTerms,
@@ -246,7 +246,7 @@
 
     def node(self, member: Member, names: tuple[str, ...], now: int) -> ModelNode:
         """Return a control node that starts."""
-        places = {name: Place() for name in names}
+        places = {name: Placement() for name in names}
         return self.node_class(
             cluster=CLUSTER,
             region=REGION,
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -14,7 +14,7 @@
 
 from tansykeel.cluster.failure_detector import DetectorConfig
 from tansykeel.cluster.gossip import MemberState
-from tansykeel.cluster.member import ClusterMember, ClusterMessage, Place, Sent
+from tansykeel.cluster.member import ClusterMember, ClusterMessage, Placement, Sent
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import CloseConnection, ConnectionId, NodeAction, SendToGateway, SendToNode, SessionTerms
@@ -64,7 +64,7 @@
         region_units: int,
         name: str,
         incarnation: int,
-        nodes: Mapping[str, Place],
+        nodes: Mapping[str, Placement],
         gateways: Container[str],
         pace: DetectorConfig,
         terms: LeaseTerms,
--- a/tansykeel/emulator/cluster_simulation.py
+++ b/tansykeel/emulator/cluster_simulation.py
@@ -13,7 +13,7 @@
 
 from tansykeel.cluster.failure_detector import SECOND, DetectorConfig
 from tansykeel.cluster.gossip import MemberState
-from tansykeel.cluster.member import ClusterMember, ClusterMessage, Place, Sent
+from tansykeel.cluster.member import ClusterMember, ClusterMessage, Placement, Sent
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.messages import CODEC
 from tansykeel.cluster.view_agreement import LeaseTerms
@@ -87,7 +87,7 @@
         self.spent = 0.0  # CPU seconds in the cluster members, in the second half
         self.believed = dict.fromkeys(self.names, Fraction(0))  # what each counted when it was last looked at
         self.seed, self.pace, self.terms = seed, pace, terms
-        self.places = {name: Place(n % trial.zones) for n, name in enumerate(self.names)}
+        self.places = {name: Placement(n % trial.zones) for n, name in enumerate(self.names)}
         self.all = {name: self._make_member(name) for name in self.names}
 
     def now(self) -> int:
--- a/tansykeel/emulator/control_trial.py
+++ b/tansykeel/emulator/control_trial.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from tansykeel.cluster.failure_detector import DetectorConfig
-from tansykeel.cluster.member import Place
+from tansykeel.cluster.member import Placement
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import WHOLE_UNITS, SessionTerms
 
@@ -118,9 +118,9 @@
             for number in range(NODES_PER_REGION)
         ]
 
-    def nodes_of(self, region: str) -> dict[str, Place]:
+    def nodes_of(self, region: str) -> dict[str, Placement]:
         """Return a region's control nodes with their zones, as the cores take them."""
-        return {node.name: Place(node.zone) for node in self.node_places() if node.region == region}
+        return {node.name: Placement(node.zone) for node in self.node_places() if node.region == region}
 
     def chance(self, purpose: str) -> Random:
         """Return a stream of chance of its own for each purpose."""
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -10,7 +10,7 @@
 from tansykeel.cluster.failure_detector import DetectorConfig as Ping
 from tansykeel.cluster.gossip import MemberState
 from tansykeel.cluster.member import ClusterMember, ClusterMessage
-from tansykeel.cluster.member import Place as Where
+from tansykeel.cluster.member import Placement as Where
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.view_agreement import LeaseTerms as Leases
 from tansykeel.emulator.engine import START, Engine, NoEnd
--- a/tansykeel/settings/cluster.py
+++ b/tansykeel/settings/cluster.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from tansykeel.cluster.failure_detector import DetectorConfig
-from tansykeel.cluster.member import ClusterMember, Place
+from tansykeel.cluster.member import ClusterMember, Placement
 from tansykeel.cluster.replicated_log import StateMachine
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.maintenance.canary_analysis import Terms as Comparing
@@ -44,7 +44,7 @@
 ) -> ClusterMember:
     """The cluster member that the settings ask for, with times in tenths of a millisecond."""
     places = {
-        name: Place(settings.zones[n] if settings.zones else 0, settings.weights[n] if settings.weights else 1)
+        name: Placement(settings.zones[n] if settings.zones else 0, settings.weights[n] if settings.weights else 1)
         for n, name in enumerate(names)
     }
     ping = int(settings.ping_ms * MS)
--- a/tansykeel/settings/control.py
+++ b/tansykeel/settings/control.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from tansykeel.cluster.failure_detector import DetectorConfig
-from tansykeel.cluster.member import Place
+from tansykeel.cluster.member import Placement
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import WHOLE_UNITS, SessionTerms
 from tansykeel.control.node import ControlNode
@@ -90,9 +90,9 @@
     return ()
 
 
-def places_of(settings: Settings, region: str) -> dict[str, Place]:
+def places_of(settings: Settings, region: str) -> dict[str, Placement]:
     """Return the control nodes of a region with their zones, by name."""
-    return {node.name: Place(node.zone) for node in settings.nodes_of(region)}
+    return {node.name: Placement(node.zone) for node in settings.nodes_of(region)}
 
 
 def control_node_of(settings: Settings, number: int, incarnation: int, chance: Random, now: int) -> ControlNode:
--- a/tests/cluster/test_member.py
+++ b/tests/cluster/test_member.py
@@ -10,7 +10,7 @@
 
 from tansykeel.cluster.failure_detector import SECOND, DetectorConfig, Ping
 from tansykeel.cluster.gossip import GossipItem, MemberState
-from tansykeel.cluster.member import ClusterMember, Place
+from tansykeel.cluster.member import ClusterMember, Placement
 from tansykeel.cluster.membership import SAFE, Member, View, voters_of
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
 from tansykeel.emulator.cluster_simulation import Trial, Watchers, watched
@@ -87,7 +87,7 @@
 
 
 def test_only_voters_in_turn_propose_and_others_wait():
-    names = {name: Place() for name in "abc"}
+    names = {name: Placement() for name in "abc"}
     cluster_members = {
         name: ClusterMember(name, names, 1, DetectorConfig(stable_after=0), LeaseTerms(lease=300), Random(1), 0)
         for name in names
--- a/tests/control/test_node.py
+++ b/tests/control/test_node.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tansykeel.cluster.failure_detector import DetectorConfig
-from tansykeel.cluster.member import Place
+from tansykeel.cluster.member import Placement
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import CloseConnection, SendToGateway, SessionTerms
 from tansykeel.control.node import NO_LEASE_RETRY_AFTER, ControlNode
@@ -38,7 +38,7 @@
             region_units=UNITS,
             name="a",
             incarnation=7,
-            nodes={"a": Place()},
+            nodes={"a": Placement()},
             gateways=frozenset(f"g{number}" for number in range(20)),
             pace=DetectorConfig(period=3_000, ack_timeout=1_500, stable_after=6_000),
             terms=LeaseTerms(30_000, 0.01),
