--- a/tansykeel/audit/cluster.py
+++ b/tansykeel/audit/cluster.py
@@ -17,7 +17,7 @@
 from tansykeel.audit.rules import SLACK, Break
 from tansykeel.cluster.member import ClusterMessage
 from tansykeel.cluster.membership import (
-    SAFE,
+    SAFE_FRACTION,
     Accepted,
     Decided,
     Form,
@@ -145,7 +145,7 @@
 
 def parts(passed: Passed, law: FleetLaw) -> Iterator[Break]:
     """No part without the leases for it, and never more than the whole together."""
-    safe, leases = SAFE / law.gateways, Leases(law)
+    safe, leases = SAFE_FRACTION / law.gateways, Leases(law)
     for one in passed.counted:
         if one.share <= safe:
             continue
@@ -191,7 +191,7 @@
 
 def counted_mean(passed: Passed, law: FleetLaw) -> float:
     """How much of a whole was counted on in the mean over the day, from the first word on."""
-    safe = SAFE / law.gateways
+    safe = SAFE_FRACTION / law.gateways
     events = sorted(passed.counted, key=lambda one: one.at)
     if not events:
         return 0.0
--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -23,7 +23,7 @@
     Try,
 )
 from tansykeel.cluster.gossip import MemberState
-from tansykeel.cluster.membership import SAFE, Decided, Member, ViewMessage
+from tansykeel.cluster.membership import SAFE_FRACTION, Decided, Member, ViewMessage
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
 from tansykeel.errors import Problem
 
@@ -69,7 +69,9 @@
         self.agreement = ViewAgreement(self._member(name, life), tuple(sorted(places)), terms, now)
         self.replicated_log = replicated_log.ReplicatedLog(self.me, machine, terms.lease, now) if machine else None
         self.next_renewal, self.lacking, self.differs = now, now, -1  # since when: no working view; others are wanted
-        self.parts = Allotments(len(places), SAFE / len(places), now)  # for whatever earns by its part of a whole
+        self.parts = Allotments(
+            len(places), SAFE_FRACTION / len(places), now
+        )  # for whatever earns by its part of a whole
         self.counted = self.counts(now)  # as of its last step
         self.taught: dict[str, tuple[int, int]] = {}  # which view others were told of last, and when
         self.turns = 0  # of passing entries on to voters
--- a/tansykeel/cluster/membership.py
+++ b/tansykeel/cluster/membership.py
@@ -8,7 +8,7 @@
 import xxhash
 from msgspec import Struct
 
-SAFE = Fraction(1, 5)  # of a whole: dealt evenly over all that the settings name, whatever is agreed
+SAFE_FRACTION = Fraction(1, 5)  # of a whole: dealt evenly over all that the settings name, whatever is agreed
 Ballot = tuple[int, str]  # round and proposer
 NONE: Ballot = (0, "")
 NEVER = -(10**15)  # a grant that was asked for then counts no more
@@ -36,7 +36,7 @@
         """Of the whole beside the safe parts."""
         if member not in self.members:
             return Fraction(0)
-        return (1 - SAFE) * Fraction(member.weight, sum(other.weight for other in self.members))
+        return (1 - SAFE_FRACTION) * Fraction(member.weight, sum(other.weight for other in self.members))
 
     def enders(self) -> tuple[tuple[Member, ...], int]:
         """Who must have ended their grants before this view counts, and how many of them."""
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -23,7 +23,7 @@
 from tansykeel.cluster.membership import (
     NEVER,
     NONE,
-    SAFE,
+    SAFE_FRACTION,
     Accept,
     Accepted,
     Ballot,
@@ -131,7 +131,7 @@
 
     def part(self, now: int) -> Fraction:
         """Of any whole, what this gateway may count as its own now: at least its even part of the safe ones."""
-        safe = SAFE / len(self.names)
+        safe = SAFE_FRACTION / len(self.names)
         if self.view is None or not self.leased(now):
             return safe
         mine = self.view.part(self.me)
--- a/tansykeel/control/actions.py
+++ b/tansykeel/control/actions.py
@@ -6,7 +6,7 @@
 from fractions import Fraction
 
 from tansykeel.cluster.member import ClusterMessage
-from tansykeel.cluster.membership import SAFE
+from tansykeel.cluster.membership import SAFE_FRACTION
 from tansykeel.protocol.frames import Fields
 
 WHOLE_UNITS = 1_000_000_000  # the whole beside the safe part, over all regions
@@ -87,4 +87,4 @@
 
 def part_of(units: int, gateways: int) -> Fraction:
     """Return a gateway's part of any whole: its even share of the safe part, and the units that it holds a lease on."""
-    return SAFE / gateways + (1 - SAFE) * Fraction(units, WHOLE_UNITS)
+    return SAFE_FRACTION / gateways + (1 - SAFE_FRACTION) * Fraction(units, WHOLE_UNITS)
--- a/tansykeel/control/held_lease.py
+++ b/tansykeel/control/held_lease.py
@@ -9,7 +9,7 @@
 from fractions import Fraction
 
 from tansykeel.cluster.allotments import Allotments
-from tansykeel.cluster.membership import SAFE
+from tansykeel.cluster.membership import SAFE_FRACTION
 from tansykeel.control.actions import CountedLease, part_of
 
 NO_LEASE = CountedLease("", 0, 0, 0, 0)
@@ -21,7 +21,7 @@
     def __init__(self, gateways: int, now: int) -> None:
         """`gateways`: how many the settings name over all regions."""
         self.gateways = gateways
-        self.allotments = Allotments(gateways, SAFE / gateways, now)
+        self.allotments = Allotments(gateways, SAFE_FRACTION / gateways, now)
         self._lease = NO_LEASE
         self._recorded = NO_LEASE
 
--- a/tests/broken_edge.py
+++ b/tests/broken_edge.py
@@ -11,7 +11,7 @@
 from tansykeel.cli.logs import set_up
 from tansykeel.cli.records import allotment_recorder
 from tansykeel.cluster.member import ClusterMember
-from tansykeel.cluster.membership import SAFE
+from tansykeel.cluster.membership import SAFE_FRACTION
 from tansykeel.edge.core import Core
 from tansykeel.edge.program import Edge
 from tansykeel.settings.build import facts_of, load
@@ -69,7 +69,7 @@
     """By a view as soon as it is heard of, for good."""
     ClusterMember.counts = lambda self, now: (
         self.agreement.number,
-        SAFE / len(self.places) + (self.agreement.view.part(self.me) if self.agreement.view else 0),
+        SAFE_FRACTION / len(self.places) + (self.agreement.view.part(self.me) if self.agreement.view else 0),
         now + 10**6,
     )
     return facts
--- a/tests/cluster/test_member.py
+++ b/tests/cluster/test_member.py
@@ -11,7 +11,7 @@
 from tansykeel.cluster.failure_detector import SECOND, DetectorConfig, Ping
 from tansykeel.cluster.gossip import GossipItem, MemberState
 from tansykeel.cluster.member import ClusterMember, Placement
-from tansykeel.cluster.membership import SAFE, Member, View, voters_of
+from tansykeel.cluster.membership import SAFE_FRACTION, Member, View, voters_of
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
 from tansykeel.emulator.cluster_simulation import Trial, Watchers, watched
 
@@ -47,7 +47,7 @@
             ),
         )
     seen = world.play()
-    assert parts == {14: {Fraction(1, 5)}, 29: {SAFE / 5}, 59: {Fraction(1, 5)}} and seen.most_of_whole <= 1
+    assert parts == {14: {Fraction(1, 5)}, 29: {SAFE_FRACTION / 5}, 59: {Fraction(1, 5)}} and seen.most_of_whole <= 1
 
 
 def test_one_seed_plays_the_same_in_every_process():
@@ -72,7 +72,9 @@
 def test_a_law_that_is_broken_is_seen(monkeypatch):
     """Gateways that count by a view as soon as they hear of it, whatever the leases on the one before."""
     monkeypatch.setattr(
-        ViewAgreement, "part", lambda one, now: SAFE / len(one.names) + (one.view.part(one.me) if one.view else 0)
+        ViewAgreement,
+        "part",
+        lambda one, now: SAFE_FRACTION / len(one.names) + (one.view.part(one.me) if one.view else 0),
     )
     assert watched(Trial(10, seconds=40, dead=2, back_s=4.0), 1).most_of_whole > 1
 
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tansykeel.cluster.membership import NONE, SAFE, Decided, Form, Formed, Member, Prepare, Revoked, View
+from tansykeel.cluster.membership import NONE, SAFE_FRACTION, Decided, Form, Formed, Member, Prepare, Revoked, View
 from tansykeel.cluster.model_checker import APART, RATES, SMALL, Bounds, Fleet, agreed, search, walks
 from tansykeel.cluster.replicated_log import ReplicatedLog
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
@@ -56,9 +56,9 @@
 
 def test_with_an_operator_s_word_a_view_forms_without_a_name_that_never_comes_and_takes_it_in_later():
     fleet = settled(Fleet(NAMES, SMALL, ViewAgreement).after(("crashes", "c")).after(("forms", "a")))
-    assert {one.part(fleet.now) for one in fleet.alive.values()} == {SAFE / 3 + (1 - SAFE) / 2}
+    assert {one.part(fleet.now) for one in fleet.alive.values()} == {SAFE_FRACTION / 3 + (1 - SAFE_FRACTION) / 2}
     fleet = settled(fleet.after(("restarts", "c")))
-    assert fleet.alive["c"].part(fleet.now) == SAFE / 3
+    assert fleet.alive["c"].part(fleet.now) == SAFE_FRACTION / 3
     fleet = settled(fleet.after(("proposes", "a", tuple(one.me for one in fleet.alive.values()))))
     assert {one.part(fleet.now) for one in fleet.alive.values()} == {Fraction(1, 3)}
 
@@ -91,12 +91,12 @@
     others = tuple(one.me for one in fleet.alive.values())
     fleet = settled(fleet.after(("proposes", others[0].name, others)))
     assert {one.view.members for one in fleet.alive.values()} == {others}
-    assert {one.part(fleet.now) for one in fleet.alive.values()} == {SAFE / 3 + (1 - SAFE) / 2}
+    assert {one.part(fleet.now) for one in fleet.alive.values()} == {SAFE_FRACTION / 3 + (1 - SAFE_FRACTION) / 2}
 
 
 def test_a_life_that_comes_back_joins_as_another_member():
     fleet = agreed(NAMES, SMALL, ViewAgreement).after(("restarts", "c"))
-    assert fleet.alive["c"].part(fleet.now) == SAFE / 3
+    assert fleet.alive["c"].part(fleet.now) == SAFE_FRACTION / 3
     members = (*(fleet.alive[name].me for name in "ab"), fleet.alive["c"].me)
     fleet = settled(fleet.after(("proposes", "a", members)))
     assert fleet.alive["c"].view.members[2] == Member("c", 2)
@@ -107,11 +107,11 @@
     fleet = agreed(NAMES, SMALL, ViewAgreement)
     cut = {"a", "c"}, {"b", "c"}
     fleet = settled(fleet, *cut)
-    assert fleet.alive["c"].part(fleet.now) == SAFE / 3 and fleet.alive["a"].part(fleet.now) == Fraction(1, 3)
+    assert fleet.alive["c"].part(fleet.now) == SAFE_FRACTION / 3 and fleet.alive["a"].part(fleet.now) == Fraction(1, 3)
     fleet = settled(fleet.after(("proposes", "a", (fleet.alive["a"].me, fleet.alive["b"].me))), *cut)
     assert fleet.alive["a"].number > fleet.alive["c"].number
     fleet = settled(fleet)
-    assert fleet.alive["c"].number == fleet.alive["a"].number and fleet.alive["c"].part(fleet.now) == SAFE / 3
+    assert fleet.alive["c"].number == fleet.alive["a"].number and fleet.alive["c"].part(fleet.now) == SAFE_FRACTION / 3
 
 
 def test_two_of_three_lost_form_no_view_until_all_names_are_back():
@@ -119,7 +119,7 @@
     fleet = fleet.after(("restarts", "b")).after(("restarts", "c"))
     everyone = [one.me for one in fleet.alive.values()]
     fleet = settled(fleet.after(("proposes", "a", everyone[:2])) or fleet)
-    assert all(one.part(fleet.now) == SAFE / 3 for one in fleet.alive.values())
+    assert all(one.part(fleet.now) == SAFE_FRACTION / 3 for one in fleet.alive.values())
     fleet = settled(fleet.after(("forms", "a")))
     assert {one.part(fleet.now) for one in fleet.alive.values()} == {Fraction(1, 3)}
 
--- a/tests/control/test_session_client.py
+++ b/tests/control/test_session_client.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tansykeel.cluster.membership import SAFE
+from tansykeel.cluster.membership import SAFE_FRACTION
 from tansykeel.control.actions import (
     WHOLE_UNITS,
     ConnectToNode,
@@ -30,7 +30,7 @@
 NODES = ("control-0", "control-1", "control-2")
 TERMS = SessionTerms(lease=3 * SECOND, heartbeat=SECOND, drift=0.01, admissions_per_second=100.0)
 GATEWAYS = 10
-SAFE_PART = SAFE / GATEWAYS
+SAFE_PART = SAFE_FRACTION / GATEWAYS
 UNITS = WHOLE_UNITS // GATEWAYS
 START = 1_000 * SECOND
 
@@ -111,8 +111,8 @@
     assert stage.client.part(held.until) == SAFE_PART
     # The scheduler earns by the lease up to its end without being told.
     earned, now_counts = stage.client.allotments.earned(asked, asked + 2 * TERMS.lease)
-    assert earned == pytest.approx(TERMS.lease * (1 + float(SAFE)))
-    assert now_counts == pytest.approx(float(SAFE))
+    assert earned == pytest.approx(TERMS.lease * (1 + float(SAFE_FRACTION)))
+    assert now_counts == pytest.approx(float(SAFE_FRACTION))
 
 
 def test_each_heartbeat_acknowledges_the_newest_lease_and_prolongs_it(stage):
