--- a/tansykeel/cluster/membership.py
+++ b/tansykeel/cluster/membership.py
@@ -10,7 +10,7 @@
 
 SAFE_FRACTION = Fraction(1, 5)  # of a whole: dealt evenly over all that the settings name, whatever is agreed
 Ballot = tuple[int, str]  # round and proposer
-NONE: Ballot = (0, "")
+NO_BALLOT: Ballot = (0, "")
 NEVER = -(10**15)  # a grant that was asked for then counts no more
 
 
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -22,7 +22,7 @@
 
 from tansykeel.cluster.membership import (
     NEVER,
-    NONE,
+    NO_BALLOT,
     SAFE_FRACTION,
     Accept,
     Accepted,
@@ -70,7 +70,7 @@
     ballot: Ballot
     view: View
     promises: set[Member] = field(default_factory=set)
-    highest: Ballot = NONE
+    highest: Ballot = NO_BALLOT
     accepted: set[Member] = field(default_factory=set)
     asking: bool = False  # past the promises: the view is settled and acceptance asked for
 
@@ -92,7 +92,7 @@
         self.ends = now  # the same for earlier views; what an earlier life granted binds no one but that life
         self.grants: dict[Member, int] = {}  # of the present view: until when each counts here
         self.ended: dict[Member, int] = {}  # by member: under which number nothing is granted any more
-        self.promised, self.accepted = NONE, NONE  # for the successor of the present view
+        self.promised, self.accepted = NO_BALLOT, NO_BALLOT  # for the successor of the present view
         self.next: View | None = None
         self.formed: View | None = None  # the formed view with the highest number that was taken up
         self.proposal: Proposal | None = None
@@ -367,7 +367,7 @@
         stepped = self.view is not None and view.electors and view.number == self.number + 1
         self.was = self.view.part(self.me) if stepped and self.view else Fraction(0)
         self.view, self.active, self.grants, self.ends = view, False, {}, max(self.ends, self.bound)
-        self.promised, self.accepted, self.next, self.proposal = NONE, NONE, None, None
+        self.promised, self.accepted, self.next, self.proposal = NO_BALLOT, NO_BALLOT, None, None
         if self.forming and self.forming[0].view.number <= view.number:
             self.forming = None
         self._look()
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tansykeel.cluster.membership import NONE, SAFE_FRACTION, Decided, Form, Formed, Member, Prepare, Revoked, View
+from tansykeel.cluster.membership import NO_BALLOT, SAFE_FRACTION, Decided, Form, Formed, Member, Prepare, Revoked, View
 from tansykeel.cluster.model_checker import APART, RATES, SMALL, Bounds, Fleet, agreed, search, walks
 from tansykeel.cluster.replicated_log import ReplicatedLog
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
@@ -27,7 +27,7 @@
 
     def _vote(self, message):
         answer = super()._vote(message)
-        self.accepted, self.next = NONE, None
+        self.accepted, self.next = NO_BALLOT, None
         return answer
 
 
