--- a/tansykeel/cluster/membership.py
+++ b/tansykeel/cluster/membership.py
@@ -47,7 +47,7 @@
     return len(members) // 2 + 1
 
 
-def voters_of(members: tuple[Member, ...], most: int, kept: tuple[Member, ...] = ()) -> tuple[Member, ...]:
+def choose_voters(members: tuple[Member, ...], most: int, kept: tuple[Member, ...] = ()) -> tuple[Member, ...]:
     """At most so many of the members: those of `kept` that stay, then from zones that have the fewest, and of a zone by
     the hash of their names, so that no name is favoured by its place in the settings."""
     chosen = [member for member in kept if member in members][:most]
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -40,9 +40,9 @@
     Stepped,
     View,
     ViewMessage,
+    choose_voters,
     majority,
     step,
-    voters_of,
 )
 
 
@@ -170,7 +170,7 @@
         if self.view is None or not self.active or self.me not in self.view.members or chosen == self.view.members:
             return []
         ballot = max(self.promised[0], self.proposal.ballot[0] if self.proposal else 0) + 1, self.me.name
-        voters = voters_of(chosen, self.terms.voters, self.view.voters)
+        voters = choose_voters(chosen, self.terms.voters, self.view.voters)
         self.proposal = Proposal(ballot, View(self.number + 1, chosen, voters, self.view.voters))
         return self._put(now, self.proposal, self.view)
 
@@ -184,7 +184,7 @@
         chosen = tuple(sorted(members))
         if not self._all_named(chosen, without) or self.me not in chosen:
             return []
-        view = View(max(stamp, self.latest + 1), chosen, voters_of(chosen, self.terms.voters))
+        view = View(max(stamp, self.latest + 1), chosen, choose_voters(chosen, self.terms.voters))
         if not self._takes_up(now, view):
             return []
         self.formed, self.forming = view, (Form(view, without), {self.me})
--- a/tests/audit/test_cluster.py
+++ b/tests/audit/test_cluster.py
@@ -7,14 +7,14 @@
 from tansykeel.audit.cluster import FLEET_RULES, FleetLaw, counted_mean, words_of
 from tansykeel.audit.join import join
 from tansykeel.audit.records import Counted, Killed, Said
-from tansykeel.cluster.membership import Decided, LeaseGrant, LeaseRequest, Member, View, voters_of
+from tansykeel.cluster.membership import Decided, LeaseGrant, LeaseRequest, Member, View, choose_voters
 from tansykeel.cluster.messages import CODEC
 from tansykeel.cluster.view_agreement import LeaseTerms
 
 SECOND = 1_000_000
 TERMS = LeaseTerms(lease=10_000, drift=0.0)
 MEMBERS = tuple(Member(f"edge-{n}", n + 1) for n in range(3))
-VIEW = View(7, MEMBERS, voters_of(MEMBERS, 5))
+VIEW = View(7, MEMBERS, choose_voters(MEMBERS, 5))
 SAFE, EACH = Fraction(1, 15), Fraction(1, 3)
 
 
@@ -84,7 +84,7 @@
 
 
 def test_together_more_than_the_whole_is_found_and_who_was_killed_counts_no_more():
-    later = View(8, MEMBERS[:2], voters_of(MEMBERS[:2], 5), VIEW.voters)
+    later = View(8, MEMBERS[:2], choose_voters(MEMBERS[:2], 5), VIEW.voters)
     words = [*WHOLE, said(2500, 0, 1, Decided(later)), *granted(3000, 0, view=8, givers=1)]
     claims = [counted(2000, n, EACH, 1000 + SECOND) for n in (1, 2)]
     claims.append(counted(5000, 0, SAFE + Fraction(2, 5), 3000 + SECOND, view=8))
--- a/tests/cluster/test_member.py
+++ b/tests/cluster/test_member.py
@@ -11,7 +11,7 @@
 from tansykeel.cluster.failure_detector import SECOND, DetectorConfig, Ping
 from tansykeel.cluster.gossip import GossipItem, MemberState
 from tansykeel.cluster.member import ClusterMember, Placement
-from tansykeel.cluster.membership import SAFE_FRACTION, Member, View, voters_of
+from tansykeel.cluster.membership import SAFE_FRACTION, Member, View, choose_voters
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
 from tansykeel.emulator.cluster_simulation import Trial, Watchers, watched
 
@@ -81,11 +81,11 @@
 
 def test_voters_stay_and_lie_over_the_zones():
     members = tuple(Member(f"g{n}", 1, n % 3) for n in range(30))
-    first = voters_of(members, 5)
+    first = choose_voters(members, 5)
     assert sorted(member.zone for member in first) in ([0, 0, 1, 1, 2], [0, 0, 1, 2, 2], [0, 1, 1, 2, 2])
     left = tuple(member for member in members if member != first[0])
-    assert len(set(voters_of(left, 5, first)) & set(first)) == 4
-    assert voters_of(members[:3], 5) == members[:3]
+    assert len(set(choose_voters(left, 5, first)) & set(first)) == 4
+    assert choose_voters(members[:3], 5) == members[:3]
 
 
 def test_only_voters_in_turn_propose_and_others_wait():
