--- a/tansykeel/cluster/membership.py
+++ b/tansykeel/cluster/membership.py
@@ -38,7 +38,7 @@
             return Fraction(0)
         return (1 - SAFE_FRACTION) * Fraction(member.weight, sum(other.weight for other in self.members))
 
-    def enders(self) -> tuple[tuple[Member, ...], int]:
+    def revokers(self) -> tuple[tuple[Member, ...], int]:
         """Who must have ended their grants before this view counts, and how many of them."""
         return (self.electors, majority(self.electors)) if self.electors else (self.members, len(self.members))
 
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -383,10 +383,10 @@
                 return []
             self.ended[self.me] = self.number
             self._look()
-        enders, _ = self.view.enders()
-        return self._to(self.view.voters, Revoked(self.number)) if self.me in enders else []
+        revokers, _ = self.view.revokers()
+        return self._to(self.view.voters, Revoked(self.number)) if self.me in revokers else []
 
     def _look(self) -> None:
         if self.view and not self.active:
-            enders, enough = self.view.enders()
-            self.active = sum(self.ended.get(member, 0) >= self.number for member in enders) >= enough
+            revokers, enough = self.view.revokers()
+            self.active = sum(self.ended.get(member, 0) >= self.number for member in revokers) >= enough
