--- a/tansykeel/cluster/membership.py
+++ b/tansykeel/cluster/membership.py
@@ -131,7 +131,7 @@
         return View(self.number, members, voters, view.voters)
 
 
-def step(before: View, view: View) -> Stepped:
+def view_delta(before: View, view: View) -> Stepped:
     were, there = set(before.members), {member.name for member in view.members}
     return Stepped(
         view.number,
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -42,7 +42,7 @@
     ViewMessage,
     choose_voters,
     majority,
-    step,
+    view_delta,
 )
 
 
@@ -343,7 +343,7 @@
             return []
         were = set(view.members)
         joined = [member for member in proposal.view.members if member not in were]
-        told = self._to(view.members, step(view, proposal.view)) + self._to(joined, Decided(proposal.view))
+        told = self._to(view.members, view_delta(view, proposal.view)) + self._to(joined, Decided(proposal.view))
         return told + self._follow(now, proposal.view)
 
     def _all_named(self, members: tuple[Member, ...], without: tuple[str, ...]) -> bool:
