--- a/tansykeel/audit/cluster.py
+++ b/tansykeel/audit/cluster.py
@@ -63,7 +63,7 @@
     def seen(said: Said) -> Seen:
         word = CODEC.decode(said.what, said.word)
         if isinstance(word, Stepped) and (before := views.get(word.number - 1)) is not None:
-            word = Decided(word.after(before))
+            word = Decided(word.apply_to(before))
         if isinstance(word, Decided | Form | Formed):
             views.setdefault(word.view.number, word.view)
         return Seen(said.at, said.passed, said.edge, said.life, said.hearer, word)
--- a/tansykeel/audit/region_views.py
+++ b/tansykeel/audit/region_views.py
@@ -31,7 +31,7 @@
                     insort(self._formed[self.region(frame)], view.number)
                 self._learn(self.region(frame), view)
             case Stepped(number) if (before := views.get(number - 1)) is not None:
-                self._learn(self.region(frame), message.after(before))
+                self._learn(self.region(frame), message.apply_to(before))
 
     def _learn(self, region: str, view: View) -> None:
         self._views[region].setdefault(view.number, view)
--- a/tansykeel/cluster/membership.py
+++ b/tansykeel/cluster/membership.py
@@ -123,7 +123,7 @@
     joined: tuple[Member, ...]
     voters: tuple[str, ...]
 
-    def after(self, view: View) -> View:
+    def apply_to(self, view: View) -> View:
         """The decided view, `view` being the one before."""
         gone = {*self.left, *(member.name for member in self.joined)}
         members = tuple(sorted([*(m for m in view.members if m.name not in gone), *self.joined]))
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -199,7 +199,7 @@
                 return self._follow(now, view)
             case Stepped():
                 if message.number == self.number + 1 and self.view:
-                    return self._follow(now, message.after(self.view))
+                    return self._follow(now, message.apply_to(self.view))
                 return [(sender.name, LeaseRequest(self.number, now))] if message.number > self.number else []
             case Revoked(number):
                 self.ended[sender] = max(self.ended.get(sender, 0), number)
