--- a/tansykeel/audit/cluster.py
+++ b/tansykeel/audit/cluster.py
@@ -30,7 +30,7 @@
     View,
     majority,
 )
-from tansykeel.cluster.messages import CODEC, number_of
+from tansykeel.cluster.messages import CODEC, view_number
 from tansykeel.cluster.view_agreement import LeaseTerms
 
 TENTH = 100  # microseconds
@@ -85,7 +85,7 @@
     """A gateway grants and votes for no view after it was heard to know a later one."""
     known: dict[tuple[str, int], tuple[int, int]] = {}  # by life: the latest number and since when
     for seen in law.words:
-        number, who = number_of(seen.word), (seen.edge, seen.life)
+        number, who = view_number(seen.word), (seen.edge, seen.life)
         if number is None:
             continue
         latest, since = known.get(who, (0, 0))
--- a/tansykeel/cluster/messages.py
+++ b/tansykeel/cluster/messages.py
@@ -66,7 +66,7 @@
     return Urgency.LIVENESS if isinstance(message, DetectorMessage) else Urgency.PROMISE
 
 
-def number_of(message: ClusterMessage) -> int | None:
+def view_number(message: ClusterMessage) -> int | None:
     """Return the number of the view that a message is about; None for the failure detector's and the log's."""
     if isinstance(message, DetectorMessage | replicated_log.LogMessage):
         return None
--- a/tansykeel/edge/cluster_connections.py
+++ b/tansykeel/edge/cluster_connections.py
@@ -11,7 +11,7 @@
 from tansykeel.cluster.gossip import MemberState
 from tansykeel.cluster.member import ClusterMember, ClusterMessage
 from tansykeel.cluster.membership import Member, View
-from tansykeel.cluster.messages import CODEC, number_of, urgency_of
+from tansykeel.cluster.messages import CODEC, urgency_of, view_number
 from tansykeel.cluster.send_queue import Urgency
 from tansykeel.edge.peers import Peers
 from tansykeel.protocol.frames import Fellow, FleetTold, Hello, ProtocolError, Watch
@@ -123,5 +123,5 @@
 
 
 def _is_older(watch: Watch, number: int) -> bool:
-    of = number_of(CODEC.decode(watch.what, watch.word))
+    of = view_number(CODEC.decode(watch.what, watch.word))
     return of is not None and of < number
--- a/tests/cluster/test_send_queue.py
+++ b/tests/cluster/test_send_queue.py
@@ -6,7 +6,7 @@
 from tansykeel.cluster.failure_detector import Ping
 from tansykeel.cluster.gossip import GossipItem, MemberState
 from tansykeel.cluster.membership import Decided, Form, LeaseRequest, Member, Promise, Revoked, View
-from tansykeel.cluster.messages import CODEC, MOST_BYTES, number_of, urgency_of
+from tansykeel.cluster.messages import CODEC, MOST_BYTES, urgency_of, view_number
 from tansykeel.cluster.send_queue import Bound, SendQueue, Urgency
 
 BOUNDS = {Urgency.HINT: Bound(2, 100), Urgency.LIVENESS: Bound(2, 10), Urgency.PROMISE: Bound(2, 50)}
@@ -63,7 +63,7 @@
         Revoked(7),
     ]
     assert [CODEC.decode(*CODEC.encode(word)) for word in words] == words
-    assert [number_of(word) for word in words] == [None, 6, 6, 7, 7, 6, 7]
+    assert [view_number(word) for word in words] == [None, 6, 6, 7, 7, 6, 7]
     assert [urgency_of(word) for word in words[:2]] == [Urgency.LIVENESS, Urgency.PROMISE]
     assert len(CODEC.kinds) == 22
 
