--- a/tansykeel/cluster/send_queue.py
+++ b/tansykeel/cluster/send_queue.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
+class QueueLimit:
     """`most` words wait, each for `lasts` tenths of a millisecond at most."""
 
     most: int
@@ -28,7 +28,7 @@
 class SendQueue:
     """The words to one gateway. Each of them may be lost by what it says, so it may be dropped here too."""
 
-    def __init__(self, bounds: Mapping[Urgency, Bound]) -> None:
+    def __init__(self, bounds: Mapping[Urgency, QueueLimit]) -> None:
         self.bounds = bounds
         self.waiting: dict[Urgency, deque[tuple[int, Any]]] = {urgency: deque() for urgency in sorted(bounds)}
         self.dropped = dict.fromkeys(sorted(bounds), 0)  # for want of room, or too late
--- a/tansykeel/edge/peers.py
+++ b/tansykeel/edge/peers.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from tansykeel.cluster.send_queue import Bound, SendQueue, Urgency
+from tansykeel.cluster.send_queue import QueueLimit, SendQueue, Urgency
 from tansykeel.edge.clock import clock
 from tansykeel.protocol.codec import Codec, Event, Frame
 from tansykeel.protocol.frames import Fields, Hello
@@ -20,9 +20,9 @@
 
 SECOND = 10_000
 BOUNDS = {
-    Urgency.LIVENESS: Bound(64, SECOND // 2),
-    Urgency.PROMISE: Bound(64, 2 * SECOND),
-    Urgency.HINT: Bound(64, SECOND),
+    Urgency.LIVENESS: QueueLimit(64, SECOND // 2),
+    Urgency.PROMISE: QueueLimit(64, 2 * SECOND),
+    Urgency.HINT: QueueLimit(64, SECOND),
 }
 MOST_HELD = 16 << 10  # bytes that a connection holds unsent; words beyond wait, so that the urgent overtake the rest
 PUMP = 0.01  # seconds between looks at a connection that is full
--- a/tests/cluster/test_send_queue.py
+++ b/tests/cluster/test_send_queue.py
@@ -7,9 +7,9 @@
 from tansykeel.cluster.gossip import GossipItem, MemberState
 from tansykeel.cluster.membership import Decided, Form, LeaseRequest, Member, Promise, Revoked, View
 from tansykeel.cluster.messages import CODEC, MOST_BYTES, urgency_of, view_number
-from tansykeel.cluster.send_queue import Bound, SendQueue, Urgency
+from tansykeel.cluster.send_queue import QueueLimit, SendQueue, Urgency
 
-BOUNDS = {Urgency.HINT: Bound(2, 100), Urgency.LIVENESS: Bound(2, 10), Urgency.PROMISE: Bound(2, 50)}
+BOUNDS = {Urgency.HINT: QueueLimit(2, 100), Urgency.LIVENESS: QueueLimit(2, 10), Urgency.PROMISE: QueueLimit(2, 50)}
 
 
 def taken(box, now):
