--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -74,7 +74,7 @@
 @dataclass(eq=False, slots=True)
 class Other:
     name: str
-    seems: MemberState = MemberState.ALIVE
+    state: MemberState = MemberState.ALIVE
     life: int = 0
     denials: int = 0
     since: int = 0
@@ -118,7 +118,7 @@
             other.falls = [at for at in other.falls if now - at < self.pace.flap_window]
             return now - other.since >= self.pace.stable_after * 2 ** min(len(other.falls), 5)
 
-        found = [o.name for o in self.others.values() if o.seems is MemberState.ALIVE and o.life and long_enough(o)]
+        found = [o.name for o in self.others.values() if o.state is MemberState.ALIVE and o.life and long_enough(o)]
         return sorted([self.me, *found])
 
     def changes(self) -> list[Other]:
@@ -178,7 +178,7 @@
     def leave(self, now: int) -> list[Sent]:
         """Tell those that seem to be there that this gateway ends: nobody needs to wait until it is missed."""
         self.leaving = True
-        return [self._ping(now, other, None) for other in self.others.values() if other.seems is MemberState.ALIVE]
+        return [self._ping(now, other, None) for other in self.others.values() if other.state is MemberState.ALIVE]
 
     # Within
 
@@ -202,7 +202,7 @@
             asker, theirs = probe.asked_for
             return [(asker, NoAnswer(theirs, self._news(asker)))]
         if not probe.helped:
-            helpers = [o for o in self.others.values() if o.seems is MemberState.ALIVE and o is not probe.other]
+            helpers = [o for o in self.others.values() if o.state is MemberState.ALIVE and o is not probe.other]
             helpers = self.chance.sample(helpers, min(self.pace.helpers, len(helpers)))
             probe.helped, probe.silent = True, len(helpers)
             probe.due = now + 2 * self.pace.ack_timeout * (1 + self.doubt)
@@ -248,18 +248,18 @@
         other = self.others.get(news.name)
         if other is None:
             return
-        known = (other.life, other.denials, other.seems)
+        known = (other.life, other.denials, other.state)
         if (news.life, news.denials, news.seems) <= known:
             if (news.life, news.denials, news.seems) == known and news.seems is MemberState.SUSPECT:
                 self._shared(other, news.by)
             return
-        came_back = other.seems is MemberState.DEAD and news.seems is MemberState.ALIVE
-        if other.seems is not news.seems or news.life != other.life:
+        came_back = other.state is MemberState.DEAD and news.seems is MemberState.ALIVE
+        if other.state is not news.seems or news.life != other.life:
             other.since = now
             self.changed[other] = None
-        if came_back or news.seems is MemberState.DEAD and other.seems is not MemberState.DEAD:
+        if came_back or news.seems is MemberState.DEAD and other.state is not MemberState.DEAD:
             other.falls = [*other.falls[-7:], now]
-        other.life, other.denials, other.seems = news.life, news.denials, news.seems
+        other.life, other.denials, other.state = news.life, news.denials, news.seems
         self.ends.pop(other, None)
         other.suspected_by = set()
         if news.seems is MemberState.SUSPECT:
@@ -282,6 +282,6 @@
         count = max(self.pace.news, min(len(self.telling) // 3, self.pace.crowd))
         told = self.telling.take(count, math.ceil(self.pace.repeats * self._size()))
         other = self.others[to]
-        if other.seems is not MemberState.ALIVE and all(news.name != to for news in told):
-            told += (GossipItem(to, other.seems, other.life, other.denials, self.me),)
+        if other.state is not MemberState.ALIVE and all(news.name != to for news in told):
+            told += (GossipItem(to, other.state, other.life, other.denials, self.me),)
         return told
--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -127,7 +127,7 @@
         for name in names:
             if name not in others:
                 raise MemberStillAlive(f"{name!r} is no other gateway of the settings; legal: {', '.join(others)}")
-            if others[name].life and others[name].seems is MemberState.ALIVE:
+            if others[name].life and others[name].state is MemberState.ALIVE:
                 raise MemberStillAlive(f"{name} seems to be there: it was heard of in its life {others[name].life}")
             self.without.add(name)
 
@@ -203,7 +203,7 @@
         there = sorted(
             voter.name
             for voter in view.voters
-            if voter == self.me or voter.name in others and others[voter.name].seems is not MemberState.DEAD
+            if voter == self.me or voter.name in others and others[voter.name].state is not MemberState.DEAD
         )
         return list(self.replicated_log.tick(now, there.index(self.me.name)))
 
@@ -255,7 +255,7 @@
             if m == self.me
             or m.name in others
             and others[m.name].life <= m.incarnation
-            and others[m.name].seems is not MemberState.DEAD
+            and others[m.name].state is not MemberState.DEAD
         ]
         names = {member.name for member in stay}
         come = [
--- a/tansykeel/edge/cluster_connections.py
+++ b/tansykeel/edge/cluster_connections.py
@@ -53,17 +53,17 @@
             self._followed(self.view, agreement.view)
             self.view = agreement.view
         for other in self.member.failure_detector.changes():
-            if other.seems is self.seems[other.name]:
+            if other.state is self.seems[other.name]:
                 continue
-            self.seems[other.name] = other.seems
+            self.seems[other.name] = other.state
             self.log.info(
                 "seems",
                 other=other.name,
-                now=SEEMS[other.seems],
+                now=SEEMS[other.state],
                 suspected_by=sorted(other.suspected_by) or None,
                 view=agreement.number,
             )
-            if other.seems is MemberState.DEAD:
+            if other.state is MemberState.DEAD:
                 self.peers.by_name[other.name].drop("it is called dead")
 
     def status(self, now: int, part: float) -> FleetTold:
@@ -90,7 +90,7 @@
         return Fellow(
             name,
             self.member.places[name].zone,
-            SEEMS[other.seems] if other.life else "unseen",  # type: ignore[arg-type]
+            SEEMS[other.state] if other.life else "unseen",  # type: ignore[arg-type]
             (now - other.since) * MICROS,
             other.life,
             tuple(sorted(other.suspected_by)),
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -147,8 +147,8 @@
         """Who went unasked and how, and who of those that did is there and whole."""
         now, cold = self.core.runner.now, self.core.facts.cold
         others = self.cluster_member.failure_detector.others.values()
-        gone = {other.name: "died" for other in others if other.seems is MemberState.DEAD}
-        alive = [other.name for other in others if other.seems is MemberState.ALIVE and other.life]
+        gone = {other.name: "died" for other in others if other.state is MemberState.DEAD}
+        alive = [other.name for other in others if other.state is MemberState.ALIVE and other.life]
         for name, store in self.core.stores.items():
             if store.state is not StoreState.READY:
                 gone[name] = "drains" if store.state is StoreState.DRAINING else "is gone"
--- a/tansykeel/emulator/cluster_simulation.py
+++ b/tansykeel/emulator/cluster_simulation.py
@@ -189,14 +189,14 @@
         believes, counted = self.seen[name], self.engine.now >= self.first
         self._audit(name)
         for other in self.all[name].failure_detector.changes():
-            if believes.get(other.name) is other.seems:
+            if believes.get(other.name) is other.state:
                 continue
-            believes[other.name] = other.seems
+            believes[other.name] = other.state
             if other.name in self.died:
-                if other.seems is MemberState.DEAD:
+                if other.state is MemberState.DEAD:
                     self.known[other.name].setdefault(name, self.now())
-            elif counted and other.name not in self.stalls and other.seems is not MemberState.ALIVE:
-                (self.suspicions if other.seems is MemberState.SUSPECT else self.deaths).add(
+            elif counted and other.name not in self.stalls and other.state is not MemberState.ALIVE:
+                (self.suspicions if other.state is MemberState.SUSPECT else self.deaths).add(
                     (other.name, other.denials)
                 )
 
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -184,8 +184,8 @@
         assert cluster_member.replicated_log is not None
         controller.leads(self.now(), cluster_member.replicated_log.leads)
         others = cluster_member.failure_detector.others
-        gone = {other.name: "died" for other in others.values() if other.seems is MemberState.DEAD}
-        alive = [other.name for other in others.values() if other.seems is MemberState.ALIVE and other.life] + [name]
+        gone = {other.name: "died" for other in others.values() if other.state is MemberState.DEAD}
+        alive = [other.name for other in others.values() if other.state is MemberState.ALIVE and other.life] + [name]
         stores = [one for one, at in self.machines.items() if at.place.kind == "store"]
         gone |= {
             one: "died"
--- a/tests/cluster/test_failure_detector.py
+++ b/tests/cluster/test_failure_detector.py
@@ -51,7 +51,7 @@
         for name, word in watcher.tick(watcher.due()):
             if isinstance(word, Ping):
                 watcher.heard(watcher.due() - 1, name, Ack(word.seq))
-    assert watcher.others[to].seems is MemberState.ALIVE
+    assert watcher.others[to].state is MemberState.ALIVE
 
 
 def test_a_helper_passes_an_answer_on_and_says_when_it_has_none():
@@ -89,7 +89,7 @@
     woke = watcher.due() + 100 * SECOND
     assert watcher.tick(woke) == [] and watcher.doubt == watcher.pace.doubts
     watcher.tick(watcher.due())
-    assert watcher.others[to].seems is not MemberState.DEAD and watcher.others["c"].seems is MemberState.SUSPECT
+    assert watcher.others[to].state is not MemberState.DEAD and watcher.others["c"].state is MemberState.SUSPECT
     assert watcher.ends[watcher.others["c"]] == ends + 100 * SECOND
 
 
@@ -99,7 +99,7 @@
     for _ in range(2):  # no answer, and none to helpers
         watcher.next_ping = 10 * SECOND
         watcher.tick(watcher.due())
-    assert watcher.others[to].seems is MemberState.SUSPECT
+    assert watcher.others[to].state is MemberState.SUSPECT
     watcher.next_ping = watcher.due() - 1
     told = dict(watcher.tick(watcher.due()))
     assert GossipItem(to, MemberState.SUSPECT, 0, 0, "a") in told[to].news
@@ -108,13 +108,13 @@
 def test_who_is_suspected_denies_it_and_is_alive_again_for_all():
     suspected, other = one("a"), one("b")
     other.heard(0, "c", Ping(1, (GossipItem("a", MemberState.SUSPECT, 1, 0, "c"),)))
-    assert other.others["a"].seems is MemberState.SUSPECT
+    assert other.others["a"].state is MemberState.SUSPECT
     suspected.heard(0, "c", Ping(1, (GossipItem("a", MemberState.SUSPECT, 1, 0, "c"),)))
     ((_, ack),) = suspected.heard(0, "b", Ping(2))
     other.heard(1, "a", ack)
-    assert other.others["a"].seems is MemberState.ALIVE and other.others["a"].denials == 1
+    assert other.others["a"].state is MemberState.ALIVE and other.others["a"].denials == 1
     other.heard(2, "c", Ping(2, (GossipItem("a", MemberState.SUSPECT, 1, 0, "d"),)))  # the old suspicion, late
-    assert other.others["a"].seems is MemberState.ALIVE
+    assert other.others["a"].state is MemberState.ALIVE
 
 
 def test_a_denial_is_told_before_greetings():
@@ -137,7 +137,7 @@
     assert ends[1] < ends[0] == 6 * SECOND
     watcher.next_ping = 100 * SECOND
     watcher.tick(ends[1])
-    assert watcher.others["a"].seems is MemberState.DEAD and "a" not in watcher.steady(10**9)
+    assert watcher.others["a"].state is MemberState.DEAD and "a" not in watcher.steady(10**9)
 
 
 def test_who_falls_again_and_again_is_steady_only_after_longer():
@@ -171,7 +171,7 @@
         for number, word in enumerate(order):
             watcher.heard(0, "c", Ping(number, (word,)))
         other = watcher.others["b"]
-        ends.append((other.life, other.denials, other.seems))
+        ends.append((other.life, other.denials, other.state))
     assert ends[0] == ends[1] == max([(n.life, n.denials, n.seems) for n in news], default=(0, 0, MemberState.ALIVE))
 
 
@@ -206,6 +206,6 @@
     said = leaving.leave(5)
     assert sorted(name for name, _ in said) == sorted(leaving.others)
     other.heard(6, "a", dict(said)["b"])
-    assert other.others["a"].seems is MemberState.DEAD
+    assert other.others["a"].state is MemberState.DEAD
     ((_, ack),) = leaving.heard(7, "b", Ping(3, (GossipItem("a", MemberState.DEAD, 1, 0, "b"),)))
     assert all(news.seems is MemberState.DEAD for news in ack.news) and leaving.denials == 0
--- a/tests/edge/test_cluster_agent.py
+++ b/tests/edge/test_cluster_agent.py
@@ -104,7 +104,7 @@
                 await gateways.start(number)
             await gateways.until(
                 lambda cluster_agent: (
-                    cluster_agent.cluster_member.failure_detector.others["edge-4"].seems.name == "DEAD"
+                    cluster_agent.cluster_member.failure_detector.others["edge-4"].state.name == "DEAD"
                 )
             )
             told = await ask(gateways.addresses[0], 5)
@@ -147,7 +147,7 @@
                 await gateways.start(number)
             await gateways.until(
                 lambda cluster_agent: (
-                    cluster_agent.cluster_member.failure_detector.others["edge-4"].seems.name == "DEAD"
+                    cluster_agent.cluster_member.failure_detector.others["edge-4"].state.name == "DEAD"
                 )
             )
             await gateways.until(
