--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -75,7 +75,7 @@
 class Other:
     name: str
     state: MemberState = MemberState.ALIVE
-    life: int = 0
+    incarnation: int = 0
     denials: int = 0
     since: int = 0
     suspected_by: set[str] = field(default_factory=set)
@@ -118,7 +118,9 @@
             other.falls = [at for at in other.falls if now - at < self.pace.flap_window]
             return now - other.since >= self.pace.stable_after * 2 ** min(len(other.falls), 5)
 
-        found = [o.name for o in self.others.values() if o.state is MemberState.ALIVE and o.life and long_enough(o)]
+        found = [
+            o.name for o in self.others.values() if o.state is MemberState.ALIVE and o.incarnation and long_enough(o)
+        ]
         return sorted([self.me, *found])
 
     def changes(self) -> list[Other]:
@@ -140,7 +142,7 @@
         for seq, probe in [(s, p) for s, p in self.probes.items() if now >= p.due]:
             sent += self._unanswered(now, seq, probe)
         for other in [o for o, end in self.ends.items() if now >= end]:
-            self._take(now, GossipItem(other.name, MemberState.DEAD, other.life, other.denials, self.me))
+            self._take(now, GossipItem(other.name, MemberState.DEAD, other.incarnation, other.denials, self.me))
         if now >= self.next_ping:
             self.next_ping = now + self.pace.period * (1 + self.doubt)
             if (turn := self._next()) is not None:
@@ -172,7 +174,7 @@
 
     def met(self, now: int, name: str, life: int) -> None:
         """A message came from this life of a gateway."""
-        if name in self.others and life > self.others[name].life:
+        if name in self.others and life > self.others[name].incarnation:
             self._take(now, GossipItem(name, MemberState.ALIVE, life, 0))
 
     def leave(self, now: int) -> list[Sent]:
@@ -211,7 +213,7 @@
         # Helpers that are silent too tell of this gateway's own links.
         self._doubts(1 + probe.silent)
         other = probe.other
-        self._take(now, GossipItem(other.name, MemberState.SUSPECT, other.life, other.denials, self.me))
+        self._take(now, GossipItem(other.name, MemberState.SUSPECT, other.incarnation, other.denials, self.me))
         return []
 
     def _doubts(self, more: int) -> None:
@@ -248,18 +250,18 @@
         other = self.others.get(news.name)
         if other is None:
             return
-        known = (other.life, other.denials, other.state)
+        known = (other.incarnation, other.denials, other.state)
         if (news.life, news.denials, news.seems) <= known:
             if (news.life, news.denials, news.seems) == known and news.seems is MemberState.SUSPECT:
                 self._shared(other, news.by)
             return
         came_back = other.state is MemberState.DEAD and news.seems is MemberState.ALIVE
-        if other.state is not news.seems or news.life != other.life:
+        if other.state is not news.seems or news.life != other.incarnation:
             other.since = now
             self.changed[other] = None
         if came_back or news.seems is MemberState.DEAD and other.state is not MemberState.DEAD:
             other.falls = [*other.falls[-7:], now]
-        other.life, other.denials, other.state = news.life, news.denials, news.seems
+        other.incarnation, other.denials, other.state = news.life, news.denials, news.seems
         self.ends.pop(other, None)
         other.suspected_by = set()
         if news.seems is MemberState.SUSPECT:
@@ -272,7 +274,7 @@
             other.suspected_by.add(by)
             self.ends[other] = other.since + self._lasts(len(other.suspected_by))
             if len(other.suspected_by) > 1:
-                self.telling.put(GossipItem(other.name, MemberState.SUSPECT, other.life, other.denials, by))
+                self.telling.put(GossipItem(other.name, MemberState.SUSPECT, other.incarnation, other.denials, by))
 
     def _news(self, to: str) -> tuple[GossipItem, ...]:
         """What is told with a message: first what was told least; to one that is suspected, that it is."""
@@ -283,5 +285,5 @@
         told = self.telling.take(count, math.ceil(self.pace.repeats * self._size()))
         other = self.others[to]
         if other.state is not MemberState.ALIVE and all(news.name != to for news in told):
-            told += (GossipItem(to, other.state, other.life, other.denials, self.me),)
+            told += (GossipItem(to, other.state, other.incarnation, other.denials, self.me),)
         return told
--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -127,8 +127,10 @@
         for name in names:
             if name not in others:
                 raise MemberStillAlive(f"{name!r} is no other gateway of the settings; legal: {', '.join(others)}")
-            if others[name].life and others[name].state is MemberState.ALIVE:
-                raise MemberStillAlive(f"{name} seems to be there: it was heard of in its life {others[name].life}")
+            if others[name].incarnation and others[name].state is MemberState.ALIVE:
+                raise MemberStillAlive(
+                    f"{name} seems to be there: it was heard of in its life {others[name].incarnation}"
+                )
             self.without.add(name)
 
     # Within
@@ -254,12 +256,12 @@
             for m in members
             if m == self.me
             or m.name in others
-            and others[m.name].life <= m.incarnation
+            and others[m.name].incarnation <= m.incarnation
             and others[m.name].state is not MemberState.DEAD
         ]
         names = {member.name for member in stay}
         come = [
-            self._member(name, others[name].life)
+            self._member(name, others[name].incarnation)
             for name in self.failure_detector.steady(now)
             if name in others and name not in names
         ]
@@ -274,5 +276,5 @@
             return []
         self.lacking, steady = now, [name for name in steady if name not in self.without]
         others = self.failure_detector.others
-        members = [self.me, *(self._member(name, others[name].life) for name in steady if name in others)]
+        members = [self.me, *(self._member(name, others[name].incarnation) for name in steady if name in others)]
         return list(self.agreement.form(now, members, wall_ms, without))
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -204,7 +204,7 @@
         if name == self.name:
             return "alive"
         other = self.member.failure_detector.others[name]
-        return SEEMS[other.state] if other.life else "unseen"
+        return SEEMS[other.state] if other.incarnation else "unseen"
 
     # Within: sessions
 
--- a/tansykeel/edge/cluster_connections.py
+++ b/tansykeel/edge/cluster_connections.py
@@ -90,9 +90,9 @@
         return Fellow(
             name,
             self.member.places[name].zone,
-            SEEMS[other.state] if other.life else "unseen",  # type: ignore[arg-type]
+            SEEMS[other.state] if other.incarnation else "unseen",  # type: ignore[arg-type]
             (now - other.since) * MICROS,
-            other.life,
+            other.incarnation,
             tuple(sorted(other.suspected_by)),
             peer.state(),  # type: ignore[arg-type]
             len(peer.send_queue),
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -148,7 +148,7 @@
         now, cold = self.core.runner.now, self.core.facts.cold
         others = self.cluster_member.failure_detector.others.values()
         gone = {other.name: "died" for other in others if other.state is MemberState.DEAD}
-        alive = [other.name for other in others if other.state is MemberState.ALIVE and other.life]
+        alive = [other.name for other in others if other.state is MemberState.ALIVE and other.incarnation]
         for name, store in self.core.stores.items():
             if store.state is not StoreState.READY:
                 gone[name] = "drains" if store.state is StoreState.DRAINING else "is gone"
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -185,7 +185,9 @@
         controller.leads(self.now(), cluster_member.replicated_log.leads)
         others = cluster_member.failure_detector.others
         gone = {other.name: "died" for other in others.values() if other.state is MemberState.DEAD}
-        alive = [other.name for other in others.values() if other.state is MemberState.ALIVE and other.life] + [name]
+        alive = [other.name for other in others.values() if other.state is MemberState.ALIVE and other.incarnation] + [
+            name
+        ]
         stores = [one for one, at in self.machines.items() if at.place.kind == "store"]
         gone |= {
             one: "died"
--- a/tests/cluster/test_failure_detector.py
+++ b/tests/cluster/test_failure_detector.py
@@ -171,7 +171,7 @@
         for number, word in enumerate(order):
             watcher.heard(0, "c", Ping(number, (word,)))
         other = watcher.others["b"]
-        ends.append((other.life, other.denials, other.state))
+        ends.append((other.incarnation, other.denials, other.state))
     assert ends[0] == ends[1] == max([(n.life, n.denials, n.seems) for n in news], default=(0, 0, MemberState.ALIVE))
 
 
--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -106,7 +106,7 @@
                 wrong.link.send(0, record)
             assert says in await wrong.error()
             others = program.agent.node.member.failure_detector.others
-            assert others["n1"].life == 0, "a message of it was taken"
+            assert others["n1"].incarnation == 0, "a message of it was taken"
 
     play(go())
 
--- a/tests/edge/test_cluster_agent.py
+++ b/tests/edge/test_cluster_agent.py
@@ -152,7 +152,7 @@
             )
             await gateways.until(
                 lambda cluster_agent: all(
-                    cluster_agent.cluster_member.failure_detector.others[f"edge-{n}"].life
+                    cluster_agent.cluster_member.failure_detector.others[f"edge-{n}"].incarnation
                     for n in range(4)
                     if f"edge-{n}" != cluster_agent.names[cluster_agent.peers.me]
                 )
