--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -76,7 +76,7 @@
     name: str
     state: MemberState = MemberState.ALIVE
     incarnation: int = 0
-    denials: int = 0
+    refutations: int = 0
     since: int = 0
     suspected_by: set[str] = field(default_factory=set)
     falls: list[int] = field(default_factory=list)  # when it was called dead, or denied that it was
@@ -142,7 +142,7 @@
         for seq, probe in [(s, p) for s, p in self.probes.items() if now >= p.due]:
             sent += self._unanswered(now, seq, probe)
         for other in [o for o, end in self.ends.items() if now >= end]:
-            self._take(now, GossipItem(other.name, MemberState.DEAD, other.incarnation, other.denials, self.me))
+            self._take(now, GossipItem(other.name, MemberState.DEAD, other.incarnation, other.refutations, self.me))
         if now >= self.next_ping:
             self.next_ping = now + self.pace.period * (1 + self.doubt)
             if (turn := self._next()) is not None:
@@ -213,7 +213,7 @@
         # Helpers that are silent too tell of this gateway's own links.
         self._doubts(1 + probe.silent)
         other = probe.other
-        self._take(now, GossipItem(other.name, MemberState.SUSPECT, other.incarnation, other.denials, self.me))
+        self._take(now, GossipItem(other.name, MemberState.SUSPECT, other.incarnation, other.refutations, self.me))
         return []
 
     def _doubts(self, more: int) -> None:
@@ -250,7 +250,7 @@
         other = self.others.get(news.name)
         if other is None:
             return
-        known = (other.incarnation, other.denials, other.state)
+        known = (other.incarnation, other.refutations, other.state)
         if (news.life, news.denials, news.seems) <= known:
             if (news.life, news.denials, news.seems) == known and news.seems is MemberState.SUSPECT:
                 self._shared(other, news.by)
@@ -261,7 +261,7 @@
             self.changed[other] = None
         if came_back or news.seems is MemberState.DEAD and other.state is not MemberState.DEAD:
             other.falls = [*other.falls[-7:], now]
-        other.incarnation, other.denials, other.state = news.life, news.denials, news.seems
+        other.incarnation, other.refutations, other.state = news.life, news.denials, news.seems
         self.ends.pop(other, None)
         other.suspected_by = set()
         if news.seems is MemberState.SUSPECT:
@@ -274,7 +274,7 @@
             other.suspected_by.add(by)
             self.ends[other] = other.since + self._lasts(len(other.suspected_by))
             if len(other.suspected_by) > 1:
-                self.telling.put(GossipItem(other.name, MemberState.SUSPECT, other.incarnation, other.denials, by))
+                self.telling.put(GossipItem(other.name, MemberState.SUSPECT, other.incarnation, other.refutations, by))
 
     def _news(self, to: str) -> tuple[GossipItem, ...]:
         """What is told with a message: first what was told least; to one that is suspected, that it is."""
@@ -285,5 +285,5 @@
         told = self.telling.take(count, math.ceil(self.pace.repeats * self._size()))
         other = self.others[to]
         if other.state is not MemberState.ALIVE and all(news.name != to for news in told):
-            told += (GossipItem(to, other.state, other.incarnation, other.denials, self.me),)
+            told += (GossipItem(to, other.state, other.incarnation, other.refutations, self.me),)
         return told
--- a/tansykeel/emulator/cluster_simulation.py
+++ b/tansykeel/emulator/cluster_simulation.py
@@ -197,7 +197,7 @@
                     self.known[other.name].setdefault(name, self.now())
             elif counted and other.name not in self.stalls and other.state is not MemberState.ALIVE:
                 (self.suspicions if other.state is MemberState.SUSPECT else self.deaths).add(
-                    (other.name, other.denials)
+                    (other.name, other.refutations)
                 )
 
     def _audit(self, name: str) -> None:
--- a/tests/cluster/test_failure_detector.py
+++ b/tests/cluster/test_failure_detector.py
@@ -112,7 +112,7 @@
     suspected.heard(0, "c", Ping(1, (GossipItem("a", MemberState.SUSPECT, 1, 0, "c"),)))
     ((_, ack),) = suspected.heard(0, "b", Ping(2))
     other.heard(1, "a", ack)
-    assert other.others["a"].state is MemberState.ALIVE and other.others["a"].denials == 1
+    assert other.others["a"].state is MemberState.ALIVE and other.others["a"].refutations == 1
     other.heard(2, "c", Ping(2, (GossipItem("a", MemberState.SUSPECT, 1, 0, "d"),)))  # the old suspicion, late
     assert other.others["a"].state is MemberState.ALIVE
 
@@ -171,7 +171,7 @@
         for number, word in enumerate(order):
             watcher.heard(0, "c", Ping(number, (word,)))
         other = watcher.others["b"]
-        ends.append((other.incarnation, other.denials, other.state))
+        ends.append((other.incarnation, other.refutations, other.state))
     assert ends[0] == ends[1] == max([(n.life, n.denials, n.seems) for n in news], default=(0, 0, MemberState.ALIVE))
 
 
