--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -101,7 +101,7 @@
         self.others = {name: Other(name, since=now) for name in names if name != me}
         self.denials = self.doubt = self.seq = 0
         self.leaving = False
-        self.changed: dict[Other, None] = {}  # who seems otherwise since `changes` was called
+        self.changed: dict[Other, None] = {}  # who seems otherwise since `take_changes` was called
         self.order: list[Other] = []
         self.probes: dict[int, Probe] = {}
         self.next_ping = now + chance.randrange(max(pace.period, 1))  # a fleet that starts at once is no herd
@@ -123,7 +123,7 @@
         ]
         return sorted([self.me, *found])
 
-    def changes(self) -> list[Other]:
+    def take_changes(self) -> list[Other]:
         """Who came to seem otherwise since this was called last: a large fleet need not be looked through."""
         changed, self.changed = list(self.changed), {}
         return changed
--- a/tansykeel/edge/cluster_connections.py
+++ b/tansykeel/edge/cluster_connections.py
@@ -52,7 +52,7 @@
         if agreement.view is not None and agreement.view is not self.view:
             self._followed(self.view, agreement.view)
             self.view = agreement.view
-        for other in self.member.failure_detector.changes():
+        for other in self.member.failure_detector.take_changes():
             if other.state is self.seems[other.name]:
                 continue
             self.seems[other.name] = other.state
--- a/tansykeel/emulator/cluster_simulation.py
+++ b/tansykeel/emulator/cluster_simulation.py
@@ -188,7 +188,7 @@
         """What this gateway has come to believe of others since it was looked at."""
         believes, counted = self.seen[name], self.engine.now >= self.first
         self._audit(name)
-        for other in self.all[name].failure_detector.changes():
+        for other in self.all[name].failure_detector.take_changes():
             if believes.get(other.name) is other.state:
                 continue
             believes[other.name] = other.state
