--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -172,7 +172,7 @@
                     probe.silent -= 1
         return []
 
-    def met(self, now: int, name: str, life: int) -> None:
+    def observe_incarnation(self, now: int, name: str, life: int) -> None:
         """A message came from this life of a gateway."""
         if name in self.others and life > self.others[name].incarnation:
             self._take(now, GossipItem(name, MemberState.ALIVE, life, 0))
--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -155,7 +155,7 @@
 
     def _heard(self, now: int, sender: Member, message: ClusterMessage) -> list[Sent]:
         # Guards against one that starts anew and learns of no other's life, for that news was told long ago.
-        self.failure_detector.met(now, sender.name, sender.incarnation)
+        self.failure_detector.observe_incarnation(now, sender.name, sender.incarnation)
         self.without.discard(sender.name)  # the word on it was wrong, or is no longer right
         if isinstance(message, Ping | Ack | Try | NoAnswer):
             return list(self.failure_detector.heard(now, sender.name, message))
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -37,7 +37,7 @@
     others: Mapping[str, Any] = {}
     leaving = False
 
-    def met(self, now: int, name: str, incarnation: int) -> None:
+    def observe_incarnation(self, now: int, name: str, incarnation: int) -> None:
         """Take no notice of a message."""
 
     def leave(self, now: int) -> list[Sent]:
