--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -99,7 +99,7 @@
     ) -> None:
         self.me, self.life, self.pace, self.chance = me, life, pace, chance
         self.others = {name: Other(name, since=now) for name in names if name != me}
-        self.denials = self.doubt = self.seq = 0
+        self.denials = self.health_score = self.seq = 0
         self.leaving = False
         self.changed: dict[Other, None] = {}  # who seems otherwise since `take_changes` was called
         self.order: list[Other] = []
@@ -144,7 +144,7 @@
         for other in [o for o, end in self.ends.items() if now >= end]:
             self._take(now, GossipItem(other.name, MemberState.DEAD, other.incarnation, other.refutations, self.me))
         if now >= self.next_ping:
-            self.next_ping = now + self.pace.period * (1 + self.doubt)
+            self.next_ping = now + self.pace.period * (1 + self.health_score)
             if (turn := self._next()) is not None:
                 sent.append(self._ping(now, turn, None))
             # Guards against a suspicion that its gateway hears of too late to deny it: whoever raised it tells it so.
@@ -194,7 +194,7 @@
 
     def _ping(self, now: int, other: Other, asked_for: tuple[str, int] | None) -> Sent:
         self.seq += 1
-        wait = self.pace.ack_timeout * (1 if asked_for else 1 + self.doubt)
+        wait = self.pace.ack_timeout * (1 if asked_for else 1 + self.health_score)
         self.probes[self.seq] = Probe(other, now + wait, asked_for=asked_for)
         return other.name, Ping(self.seq, self._news(other.name))
 
@@ -207,7 +207,7 @@
             helpers = [o for o in self.others.values() if o.state is MemberState.ALIVE and o is not probe.other]
             helpers = self.chance.sample(helpers, min(self.pace.helpers, len(helpers)))
             probe.helped, probe.silent = True, len(helpers)
-            probe.due = now + 2 * self.pace.ack_timeout * (1 + self.doubt)
+            probe.due = now + 2 * self.pace.ack_timeout * (1 + self.health_score)
             return [(o.name, Try(seq, probe.other.name, self._news(o.name))) for o in helpers]
         del self.probes[seq]
         # Helpers that are silent too tell of this gateway's own links.
@@ -217,7 +217,7 @@
         return []
 
     def _doubts(self, more: int) -> None:
-        self.doubt = min(max(self.doubt + more, 0), self.pace.doubts)
+        self.health_score = min(max(self.health_score + more, 0), self.pace.doubts)
 
     def _next(self) -> Other | None:
         """Whose turn it is: each once in a round, in an order drawn anew; the dead too, now and then, in their turn."""
--- a/tansykeel/edge/cluster_connections.py
+++ b/tansykeel/edge/cluster_connections.py
@@ -77,7 +77,7 @@
             agreement.active,
             max(agreement.until() - now, 0) * MICROS,
             part,
-            member.failure_detector.doubt,
+            member.failure_detector.health_score,
             tuple((m.name, m.incarnation) for m in view.members) if view else (),
             tuple(v.name for v in view.voters) if view else (),
             tuple(self._fellow(now, name) for name in member.failure_detector.others),
--- a/tests/cluster/test_failure_detector.py
+++ b/tests/cluster/test_failure_detector.py
@@ -37,7 +37,7 @@
             asked.append(to)
             watcher.heard(watcher.due() - 1, to, Ack(seq))
         assert sorted(asked) == ["b", "c", "d"]
-    assert watcher.doubt == 0
+    assert watcher.health_score == 0
 
 
 def test_a_gateway_that_others_can_reach_is_not_suspected():
@@ -76,7 +76,7 @@
                 watcher.heard(watcher.due() - 1, name, NoAnswer(seq))
         watcher.next_ping = 10 * SECOND
         watcher.tick(watcher.due())
-        doubts.append(watcher.doubt)
+        doubts.append(watcher.health_score)
     assert doubts == [3, 1]
 
 
@@ -87,7 +87,7 @@
     watcher.heard(1, "b", Ping(1, (GossipItem("c", MemberState.SUSPECT, 1, 0, "b"),)))
     ends = watcher.ends[watcher.others["c"]]
     woke = watcher.due() + 100 * SECOND
-    assert watcher.tick(woke) == [] and watcher.doubt == watcher.pace.doubts
+    assert watcher.tick(woke) == [] and watcher.health_score == watcher.pace.doubts
     watcher.tick(watcher.due())
     assert watcher.others[to].state is not MemberState.DEAD and watcher.others["c"].state is MemberState.SUSPECT
     assert watcher.ends[watcher.others["c"]] == ends + 100 * SECOND
