--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -96,13 +96,13 @@
 
     def tick(self, now: int, wall_ms: int) -> list[Sent]:
         sent = self._tick(now, wall_ms)
-        self._carry(now)
+        self._sync_log(now)
         self._count(now)
         return sent
 
     def heard(self, now: int, sender: Member, message: ClusterMessage) -> list[Sent]:
         sent = self._heard(now, sender, message)
-        self._carry(now)
+        self._sync_log(now)
         self._count(now)
         return sent
 
@@ -185,7 +185,7 @@
             to = others[self.turns]
         return True, [(to, replicated_log.Propose(offer.entry, offer.hops + 1))]
 
-    def _carry(self, now: int) -> None:
+    def _sync_log(self, now: int) -> None:
         """The ledger follows the view, and nobody votes for the next one before it has taken the ledger over."""
         book, agreement = self.replicated_log, self.agreement
         if book is None:
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -81,7 +81,7 @@
         sent: list[Sent] = list(self.agreement.renew(now))
         if self.log.leading is not None:
             sent += self.log.tick(now, 0)
-        self._carry(now)
+        self._sync_log(now)
         return sent
 
     def lead(self, now: int) -> list[Sent]:
@@ -91,13 +91,13 @@
     def propose(self, now: int, members: Iterable[Member]) -> list[Sent]:
         """Propose the members of the next view."""
         sent: list[Sent] = list(self.agreement.propose(now, members))
-        self._carry(now)
+        self._sync_log(now)
         return sent
 
     def form(self, now: int, members: Iterable[Member], stamp: int, without: tuple[str, ...]) -> list[Sent]:
         """Ask all to take up a view that is formed anew."""
         sent: list[Sent] = list(self.agreement.form(now, members, stamp, without))
-        self._carry(now)
+        self._sync_log(now)
         return sent
 
     def copy(self) -> ModelMember:
