--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -97,13 +97,13 @@
     def tick(self, now: int, wall_ms: int) -> list[Sent]:
         sent = self._tick(now, wall_ms)
         self._sync_log(now)
-        self._count(now)
+        self._record_part(now)
         return sent
 
     def heard(self, now: int, sender: Member, message: ClusterMessage) -> list[Sent]:
         sent = self._heard(now, sender, message)
         self._sync_log(now)
-        self._count(now)
+        self._record_part(now)
         return sent
 
     def offer(self, now: int, entry: bytes) -> tuple[bool, list[Sent]]:
@@ -115,7 +115,7 @@
 
     def leave(self, now: int) -> list[Sent]:
         """This gateway ends soon: say so, ask for no lease any more."""
-        self._count(now)
+        self._record_part(now)
         return list(self.failure_detector.leave(now))
 
     def go_without(self, names: Iterable[str]) -> None:
@@ -135,7 +135,7 @@
 
     # Within
 
-    def _count(self, now: int) -> None:
+    def _record_part(self, now: int) -> None:
         if (counted := self.counts(now)) != self.counted:
             self.counted = counted
             self.parts.put(now, counted[1], counted[2])
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -112,7 +112,7 @@
         """Return all that decides what it will do."""
         return self.agreement.key(), self.log.key(), self.log.leader, self.turns, frozenset(self.taught.items())
 
-    def _count(self, now: int) -> None:
+    def _record_part(self, now: int) -> None:
         """Keep no account of parts: control nodes have none."""
 
 
