--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -73,7 +73,7 @@
             len(places), SAFE_FRACTION / len(places), now
         )  # for whatever earns by its part of a whole
         self.counted = self.counts(now)  # as of its last step
-        self.taught: dict[str, tuple[int, int]] = {}  # which view others were told of last, and when
+        self.last_told: dict[str, tuple[int, int]] = {}  # which view others were told of last, and when
         self.turns = 0  # of passing entries on to voters
         self.number = 0  # of the view that was there when last looked at
         self.without: set[str] = set()  # names without which an operator says that a view may be formed
@@ -215,10 +215,10 @@
         sent: list[Sent] = []
         for to, word in answers:
             if isinstance(word, Decided):
-                number, at = self.taught.get(to, (0, 0))
+                number, at = self.last_told.get(to, (0, 0))
                 if number == word.view.number and now - at < self.terms.lease // RENEWS:
                     continue
-                self.taught[to] = word.view.number, now
+                self.last_told[to] = word.view.number, now
             sent.append((to, word))
         return sent
 
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -105,12 +105,12 @@
         made = copy(self)
         made.agreement = self.agreement.copy()
         made.replicated_log = self.log.copy()
-        made.taught = dict(self.taught)
+        made.last_told = dict(self.last_told)
         return made
 
     def key(self) -> tuple[object, ...]:
         """Return all that decides what it will do."""
-        return self.agreement.key(), self.log.key(), self.log.leader, self.turns, frozenset(self.taught.items())
+        return self.agreement.key(), self.log.key(), self.log.leader, self.turns, frozenset(self.last_told.items())
 
     def _record_part(self, now: int) -> None:
         """Keep no account of parts: control nodes have none."""
