--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -74,7 +74,7 @@
         )  # for whatever earns by its part of a whole
         self.counted = self.counts(now)  # as of its last step
         self.last_told: dict[str, tuple[int, int]] = {}  # which view others were told of last, and when
-        self.turns = 0  # of passing entries on to voters
+        self.forward_index = 0  # of passing entries on to voters
         self.number = 0  # of the view that was there when last looked at
         self.without: set[str] = set()  # names without which an operator says that a view may be formed
 
@@ -181,8 +181,8 @@
             others = [voter.name for voter in view.voters if voter != self.me]
             if not others:
                 return False, []
-            self.turns = (self.turns + 1) % len(others)
-            to = others[self.turns]
+            self.forward_index = (self.forward_index + 1) % len(others)
+            to = others[self.forward_index]
         return True, [(to, replicated_log.Propose(offer.entry, offer.hops + 1))]
 
     def _sync_log(self, now: int) -> None:
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -110,7 +110,13 @@
 
     def key(self) -> tuple[object, ...]:
         """Return all that decides what it will do."""
-        return self.agreement.key(), self.log.key(), self.log.leader, self.turns, frozenset(self.last_told.items())
+        return (
+            self.agreement.key(),
+            self.log.key(),
+            self.log.leader,
+            self.forward_index,
+            frozenset(self.last_told.items()),
+        )
 
     def _record_part(self, now: int) -> None:
         """Keep no account of parts: control nodes have none."""
