--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -69,7 +69,7 @@
         self.agreement = ViewAgreement(self._member(name, life), tuple(sorted(places)), terms, now)
         self.replicated_log = replicated_log.ReplicatedLog(self.me, machine, terms.lease, now) if machine else None
         self.next_renewal, self.lacking, self.differs = now, now, -1  # since when: no working view; others are wanted
-        self.parts = Allotments(
+        self.allotments = Allotments(
             len(places), SAFE_FRACTION / len(places), now
         )  # for whatever earns by its part of a whole
         self.counted = self.counts(now)  # as of its last step
@@ -138,7 +138,7 @@
     def _record_part(self, now: int) -> None:
         if (counted := self.counts(now)) != self.counted:
             self.counted = counted
-            self.parts.put(now, counted[1], counted[2])
+            self.allotments.put(now, counted[1], counted[2])
 
     def _tick(self, now: int, wall_ms: int) -> list[Sent]:
         sent: list[Sent] = []
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -257,7 +257,7 @@
     def _allotments(self) -> Parts | None:
         """Return what tells the gateway's part of the wholes that all gateways divide; none: each has an even part."""
         if self.cluster_agent:
-            return self.cluster_agent.cluster_member.parts
+            return self.cluster_agent.cluster_member.allotments
         return self.control_session.allotments if self.control_session else None
 
     def _accept(self, sock: Any) -> None:
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -60,7 +60,7 @@
             self.native,
             known_of(scene.settings),
             scene.decide,
-            self.fellow.cluster_member.parts if self.fellow else None,
+            self.fellow.cluster_member.allotments if self.fellow else None,
         )
         if self.asked or scene.day.fleet.list_mode == "push":
             self.ask_list()
