--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -50,7 +50,7 @@
 
 
 DetectorMessage = Ping | Ack | Try | NoAnswer
-Sent = tuple[str, DetectorMessage]
+OutgoingMessage = tuple[str, DetectorMessage]
 
 
 @dataclass(frozen=True, slots=True)
@@ -134,11 +134,11 @@
 
     # What comes in
 
-    def tick(self, now: int) -> list[Sent]:
+    def tick(self, now: int) -> list[OutgoingMessage]:
         late = now - self.due()
         if late > self.pace.ack_timeout:
             return self._slept(now, late)
-        sent: list[Sent] = []
+        sent: list[OutgoingMessage] = []
         for seq, probe in [(s, p) for s, p in self.probes.items() if now >= p.due]:
             sent += self._unanswered(now, seq, probe)
         for other in [o for o, end in self.ends.items() if now >= end]:
@@ -151,7 +151,7 @@
             sent += [self._ping(now, o, None) for o in self.ends if self.me in o.suspected_by and o is not turn]
         return sent
 
-    def heard(self, now: int, sender: str, word: DetectorMessage) -> list[Sent]:
+    def heard(self, now: int, sender: str, word: DetectorMessage) -> list[OutgoingMessage]:
         if sender not in self.others:
             return []
         for news in word.news:
@@ -177,14 +177,14 @@
         if name in self.others and life > self.others[name].incarnation:
             self._take(now, GossipItem(name, MemberState.ALIVE, life, 0))
 
-    def leave(self, now: int) -> list[Sent]:
+    def leave(self, now: int) -> list[OutgoingMessage]:
         """Tell those that seem to be there that this gateway ends: nobody needs to wait until it is missed."""
         self.leaving = True
         return [self._ping(now, other, None) for other in self.others.values() if other.state is MemberState.ALIVE]
 
     # Within
 
-    def _slept(self, now: int, late: int) -> list[Sent]:
+    def _slept(self, now: int, late: int) -> list[OutgoingMessage]:
         """Guards against a gateway that stood still and finds all its probes overdue: it was not they who were away."""
         self._doubts(self.pace.doubts)
         self.probes.clear()
@@ -192,13 +192,13 @@
         self.next_ping = now + 1
         return []
 
-    def _ping(self, now: int, other: Other, asked_for: tuple[str, int] | None) -> Sent:
+    def _ping(self, now: int, other: Other, asked_for: tuple[str, int] | None) -> OutgoingMessage:
         self.seq += 1
         wait = self.pace.ack_timeout * (1 if asked_for else 1 + self.health_score)
         self.probes[self.seq] = Probe(other, now + wait, asked_for=asked_for)
         return other.name, Ping(self.seq, self._news(other.name))
 
-    def _unanswered(self, now: int, seq: int, probe: Probe) -> list[Sent]:
+    def _unanswered(self, now: int, seq: int, probe: Probe) -> list[OutgoingMessage]:
         if probe.asked_for:
             del self.probes[seq]
             asker, theirs = probe.asked_for
--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -47,7 +47,7 @@
 
 
 ClusterMessage = DetectorMessage | ViewMessage | replicated_log.LogMessage
-Sent = tuple[str, ClusterMessage]
+OutgoingMessage = tuple[str, ClusterMessage]
 
 
 class ClusterMember:
@@ -94,26 +94,26 @@
     def due(self) -> int:
         return min(self.next_renewal, self.failure_detector.due())
 
-    def tick(self, now: int, wall_ms: int) -> list[Sent]:
+    def tick(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
         sent = self._tick(now, wall_ms)
         self._sync_log(now)
         self._record_part(now)
         return sent
 
-    def heard(self, now: int, sender: Member, message: ClusterMessage) -> list[Sent]:
+    def heard(self, now: int, sender: Member, message: ClusterMessage) -> list[OutgoingMessage]:
         sent = self._heard(now, sender, message)
         self._sync_log(now)
         self._record_part(now)
         return sent
 
-    def offer(self, now: int, entry: bytes) -> tuple[bool, list[Sent]]:
+    def offer(self, now: int, entry: bytes) -> tuple[bool, list[OutgoingMessage]]:
         """An entry for the ledger: added here where this gateway leads it, else passed on. False: nobody to take it."""
         if self.replicated_log is None:
             return False, []
         added, sent = self.replicated_log.offer(now, entry)
         return (True, list(sent)) if added else self._pass_on(replicated_log.Propose(entry))
 
-    def leave(self, now: int) -> list[Sent]:
+    def leave(self, now: int) -> list[OutgoingMessage]:
         """This gateway ends soon: say so, ask for no lease any more."""
         self._record_part(now)
         return list(self.failure_detector.leave(now))
@@ -140,8 +140,8 @@
             self.counted = counted
             self.allotments.put(now, counted[1], counted[2])
 
-    def _tick(self, now: int, wall_ms: int) -> list[Sent]:
-        sent: list[Sent] = []
+    def _tick(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
+        sent: list[OutgoingMessage] = []
         if now >= self.failure_detector.due():
             sent += self.failure_detector.tick(now)
         if now >= self.next_renewal:
@@ -153,7 +153,7 @@
             sent += self._lead(now)
         return sent
 
-    def _heard(self, now: int, sender: Member, message: ClusterMessage) -> list[Sent]:
+    def _heard(self, now: int, sender: Member, message: ClusterMessage) -> list[OutgoingMessage]:
         # Guards against one that starts anew and learns of no other's life, for that news was told long ago.
         self.failure_detector.observe_incarnation(now, sender.name, sender.incarnation)
         self.without.discard(sender.name)  # the word on it was wrong, or is no longer right
@@ -163,7 +163,7 @@
             return self._of_ledger(now, sender, message)
         return self._once(now, self.agreement.heard(now, sender, message))
 
-    def _of_ledger(self, now: int, sender: Member, word: replicated_log.LogMessage) -> list[Sent]:
+    def _of_ledger(self, now: int, sender: Member, word: replicated_log.LogMessage) -> list[OutgoingMessage]:
         if self.replicated_log is None:
             return []
         if isinstance(word, replicated_log.Propose):
@@ -171,7 +171,7 @@
             return list(sent) if added else self._pass_on(word)[1]
         return list(self.replicated_log.heard(now, sender, word))
 
-    def _pass_on(self, offer: replicated_log.Propose) -> tuple[bool, list[Sent]]:
+    def _pass_on(self, offer: replicated_log.Propose) -> tuple[bool, list[OutgoingMessage]]:
         """To whoever leads as far as is known here, else to a voter, who may know."""
         view = self.agreement.view
         if self.replicated_log is None or view is None or offer.hops >= HOPS:
@@ -197,7 +197,7 @@
         agreement.carries = book.carried
         agreement.stuck = book.stuck
 
-    def _lead(self, now: int) -> list[Sent]:
+    def _lead(self, now: int) -> list[OutgoingMessage]:
         view = self.agreement.view
         if self.replicated_log is None or view is None or self.me not in view.voters:
             return []
@@ -209,10 +209,10 @@
         )
         return list(self.replicated_log.tick(now, there.index(self.me.name)))
 
-    def _once(self, now: int, answers: list[tuple[str, ViewMessage]]) -> list[Sent]:
+    def _once(self, now: int, answers: list[tuple[str, ViewMessage]]) -> list[OutgoingMessage]:
         """Guards against the same view told for each of hundreds of late words of one that slept: once is enough until
         it would ask again."""
-        sent: list[Sent] = []
+        sent: list[OutgoingMessage] = []
         for to, word in answers:
             if isinstance(word, Decided):
                 number, at = self.last_told.get(to, (0, 0))
@@ -225,7 +225,7 @@
     def _member(self, name: str, life: int) -> Member:
         return Member(name, life, self.places[name].zone, self.places[name].weight)
 
-    def _change(self, now: int, wall_ms: int) -> list[Sent]:
+    def _change(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
         """Propose the next view if another is wanted, in turn after those that come first by name."""
         agreement, view = self.agreement, self.agreement.view
         if agreement.number != self.number:
@@ -267,7 +267,7 @@
         ]
         return tuple(sorted([*stay, *come]))
 
-    def _form(self, now: int, wall_ms: int) -> list[Sent]:
+    def _form(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
         """No view works: the first by name forms one, if every name of the settings is there, or whoever was told that
         it may without the others."""
         steady = self.failure_detector.steady(now)
--- a/tansykeel/cluster/membership.py
+++ b/tansykeel/cluster/membership.py
@@ -150,4 +150,4 @@
 ViewMessage = (
     LeaseRequest | LeaseGrant | Prepare | Promise | Accept | Accepted | Form | Formed | Decided | Stepped | Revoked
 )
-Sent = tuple[str, ViewMessage]  # to whom
+OutgoingMessage = tuple[str, ViewMessage]  # to whom
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -33,10 +33,10 @@
     LeaseGrant,
     LeaseRequest,
     Member,
+    OutgoingMessage,
     Prepare,
     Promise,
     Revoked,
-    Sent,
     Stepped,
     View,
     ViewMessage,
@@ -141,9 +141,9 @@
 
     # Steps that this gateway takes
 
-    def renew(self, now: int) -> list[Sent]:
+    def renew(self, now: int) -> list[OutgoingMessage]:
         """Ask for the lease anew, and go on with whatever waits for an answer. To be called several times a lease."""
-        sent: list[Sent] = []
+        sent: list[OutgoingMessage] = []
         if self.view and self.me in self.view.members:
             sent += self._to(self.view.voters, LeaseRequest(self.number, now))
             sent += self._grant(now, self.me, LeaseRequest(self.number, now))
@@ -159,7 +159,7 @@
             sent += self._to(self.forming[0].view.members, self.forming[0])
         return sent
 
-    def propose(self, now: int, members: Iterable[Member]) -> list[Sent]:
+    def propose(self, now: int, members: Iterable[Member]) -> list[OutgoingMessage]:
         """Propose the members of the next view; nothing happens where this gateway may not, or nothing would change.
 
         At most one life of each name, this gateway among them or not.
@@ -174,7 +174,9 @@
         self.proposal = Proposal(ballot, View(self.number + 1, chosen, voters, self.view.voters))
         return self._put(now, self.proposal, self.view)
 
-    def form(self, now: int, members: Iterable[Member], stamp: int, without: tuple[str, ...] = ()) -> list[Sent]:
+    def form(
+        self, now: int, members: Iterable[Member], stamp: int, without: tuple[str, ...] = ()
+    ) -> list[OutgoingMessage]:
         """Ask all names of the settings to take up a view of them all, but those `without` which an operator says that
         it may be formed; `stamp` is the wall clock's, in milliseconds.
 
@@ -192,7 +194,7 @@
 
     # What comes in
 
-    def heard(self, now: int, sender: Member, message: ViewMessage) -> list[Sent]:
+    def heard(self, now: int, sender: Member, message: ViewMessage) -> list[OutgoingMessage]:
         """A message of another gateway, late or repeated as it may be."""
         match message:
             case Decided(view):
@@ -287,10 +289,10 @@
 
     # Within
 
-    def _to(self, members: Iterable[Member], message: ViewMessage) -> list[Sent]:
+    def _to(self, members: Iterable[Member], message: ViewMessage) -> list[OutgoingMessage]:
         return [(member.name, message) for member in members if member.name != self.me.name]
 
-    def _put(self, now: int, proposal: Proposal, view: View) -> list[Sent]:
+    def _put(self, now: int, proposal: Proposal, view: View) -> list[OutgoingMessage]:
         """Ask the voters of the present view; its own vote, if it has one, is there without a way."""
         word = proposal.word(view.number)
         sent = self._to(view.voters, word)
@@ -298,7 +300,7 @@
             sent += self.heard(now, self.me, answer)
         return sent
 
-    def _grant(self, now: int, member: Member, ask: LeaseRequest) -> list[Sent]:
+    def _grant(self, now: int, member: Member, ask: LeaseRequest) -> list[OutgoingMessage]:
         if self.view is None or ask.number != self.number or self.me not in self.view.voters:
             return []
         self.bound = max(self.bound, now + self.terms.binds())
@@ -322,7 +324,7 @@
         self.accepted, self.next = message.ballot, message.view
         return Accepted(message.number, message.ballot)
 
-    def _promised(self, now: int, sender: Member, promise: Promise) -> list[Sent]:
+    def _promised(self, now: int, sender: Member, promise: Promise) -> list[OutgoingMessage]:
         proposal, view = self.proposal, self.view
         if proposal is None or view is None or proposal.asking or promise.ballot != proposal.ballot:
             return []
@@ -334,7 +336,7 @@
         proposal.asking = True
         return self._put(now, proposal, view)
 
-    def _accepted(self, now: int, sender: Member, accepted: Accepted) -> list[Sent]:
+    def _accepted(self, now: int, sender: Member, accepted: Accepted) -> list[OutgoingMessage]:
         proposal, view = self.proposal, self.view
         if proposal is None or view is None or accepted.ballot != proposal.ballot:
             return []
@@ -353,13 +355,13 @@
         """A formed view: by who is in it, knows of nothing later, and has no working view to lose."""
         return self.me in view.members and view.number > self.latest and not self.works(now)
 
-    def _all_formed(self, now: int) -> list[Sent]:
+    def _all_formed(self, now: int) -> list[OutgoingMessage]:
         if self.forming is None or len(self.forming[1]) < len(self.forming[0].view.members):
             return []
         view, self.forming = self.forming[0].view, None
         return self._to(view.members, Decided(view)) + self._follow(now, view)
 
-    def _follow(self, now: int, view: View) -> list[Sent]:
+    def _follow(self, now: int, view: View) -> list[OutgoingMessage]:
         """A view was decided. From now on nothing is granted for an earlier one."""
         if view.number <= self.number:
             return []
@@ -373,7 +375,7 @@
         self._look()
         return self.renew(now)
 
-    def _end_grants(self, now: int) -> list[Sent]:
+    def _end_grants(self, now: int) -> list[OutgoingMessage]:
         """Once all that was granted for earlier views is over: say so. Repeated, for words get lost."""
         said = self.ended.get(self.me, 0) >= self.number
         if self.view is None or self.active and said:
--- a/tansykeel/control/budget_agent.py
+++ b/tansykeel/control/budget_agent.py
@@ -9,7 +9,7 @@
 from copy import copy
 from dataclasses import dataclass
 
-from tansykeel.cluster.member import ClusterMember, Sent
+from tansykeel.cluster.member import ClusterMember, OutgoingMessage
 from tansykeel.cluster.membership import NEVER, View
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.budget_state import BudgetState, NodeBudget
@@ -103,9 +103,9 @@
         self.registers = True
         return True
 
-    def proposals(self, now: int, sessions: int, outstanding: int) -> list[Sent]:
+    def proposals(self, now: int, sessions: int, outstanding: int) -> list[OutgoingMessage]:
         """Return the messages by which it proposes the entries that its budget needs now."""
-        sent: list[Sent] = []
+        sent: list[OutgoingMessage] = []
         if self.record is not None:
             sent += self._demand(now, self.record, sessions)
             sent += self._release(now, self.record, outstanding)
@@ -160,14 +160,14 @@
             if self.pending and record.version != self.pending.version:
                 self.pending = None
 
-    def _demand(self, now: int, record: NodeBudget, sessions: int) -> list[Sent]:
+    def _demand(self, now: int, record: NodeBudget, sessions: int) -> list[OutgoingMessage]:
         weight = 0 if self.leaving else sessions
         if record.weight == weight:
             return []
         me = self.member.me
         return self._propose(now, NodeDemand(me.name, me.incarnation, self.term, weight), DEMAND_EVERY)
 
-    def _release(self, now: int, record: NodeBudget, outstanding: int) -> list[Sent]:
+    def _release(self, now: int, record: NodeBudget, outstanding: int) -> list[OutgoingMessage]:
         """Propose to keep no more than its target, as far as its gateways let it."""
         target = 0 if self.leaving else self.share()
         units = max(target, outstanding)
@@ -181,17 +181,17 @@
         entry = BudgetReleased(me.name, me.incarnation, self.term, record.version, units)
         return self._propose(now, entry, RELEASE_EVERY)
 
-    def _reclaim(self, now: int) -> list[Sent]:
+    def _reclaim(self, now: int) -> list[OutgoingMessage]:
         """Propose that what nodes hold that are in the view no more is free."""
         assert self.view is not None
         there = {(member.name, member.incarnation) for member in self.view.members}
-        sent: list[Sent] = []
+        sent: list[OutgoingMessage] = []
         for node, record in list(self.state.records.items()):
             if (node, record.incarnation) not in there:
                 sent += self._propose(now, NodeReclaimed(node, record.incarnation, record.term), PROPOSE_AGAIN)
         return sent
 
-    def _propose(self, now: int, entry: NodeEntry, every: int) -> list[Sent]:
+    def _propose(self, now: int, entry: NodeEntry, every: int) -> list[OutgoingMessage]:
         """Propose an entry, unless one of its kind was proposed for the node within the time given."""
         key = (type(entry).__name__, entry.node)
         if now - self._proposed_at.get(key, NEVER) < every:
--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import cast
 
-from tansykeel.cluster.member import Sent
+from tansykeel.cluster.member import OutgoingMessage
 from tansykeel.cluster.membership import Member, View, ViewMessage
 from tansykeel.cluster.model_checker import Bounds, Event, Fleet
 from tansykeel.cluster.view_agreement import ViewAgreement
@@ -198,7 +198,7 @@
         self._do_node(node, actions)
         return True
 
-    def _member_step(self, kind: str, node: ModelNode, now: int, what: list[object]) -> list[Sent]:
+    def _member_step(self, kind: str, node: ModelNode, now: int, what: list[object]) -> list[OutgoingMessage]:
         if kind == "leads":
             self.used["lead"] += 1
             return list(node.member.lead(now))
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -13,7 +13,7 @@
 from typing import Any, cast
 
 from tansykeel.cluster.failure_detector import DetectorConfig, FailureDetector
-from tansykeel.cluster.member import ClusterMember, Placement, Sent
+from tansykeel.cluster.member import ClusterMember, OutgoingMessage, Placement
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.replicated_log import ReplicatedLog, StateMachine
 from tansykeel.cluster.view_agreement import LeaseTerms
@@ -40,7 +40,7 @@
     def observe_incarnation(self, now: int, name: str, incarnation: int) -> None:
         """Take no notice of a message."""
 
-    def leave(self, now: int) -> list[Sent]:
+    def leave(self, now: int) -> list[OutgoingMessage]:
         """Tell nobody."""
         return []
 
@@ -76,27 +76,27 @@
         """Return when `tick` is due: never, for the search says when it renews."""
         return NEVER_DUE
 
-    def renew(self, now: int) -> list[Sent]:
+    def renew(self, now: int) -> list[OutgoingMessage]:
         """Ask for leases anew; as a leader, tell the log again."""
-        sent: list[Sent] = list(self.agreement.renew(now))
+        sent: list[OutgoingMessage] = list(self.agreement.renew(now))
         if self.log.leading is not None:
             sent += self.log.tick(now, 0)
         self._sync_log(now)
         return sent
 
-    def lead(self, now: int) -> list[Sent]:
+    def lead(self, now: int) -> list[OutgoingMessage]:
         """Try to lead the log."""
         return list(self.log.lead(now))
 
-    def propose(self, now: int, members: Iterable[Member]) -> list[Sent]:
+    def propose(self, now: int, members: Iterable[Member]) -> list[OutgoingMessage]:
         """Propose the members of the next view."""
-        sent: list[Sent] = list(self.agreement.propose(now, members))
+        sent: list[OutgoingMessage] = list(self.agreement.propose(now, members))
         self._sync_log(now)
         return sent
 
-    def form(self, now: int, members: Iterable[Member], stamp: int, without: tuple[str, ...]) -> list[Sent]:
+    def form(self, now: int, members: Iterable[Member], stamp: int, without: tuple[str, ...]) -> list[OutgoingMessage]:
         """Ask all to take up a view that is formed anew."""
-        sent: list[Sent] = list(self.agreement.form(now, members, stamp, without))
+        sent: list[OutgoingMessage] = list(self.agreement.form(now, members, stamp, without))
         self._sync_log(now)
         return sent
 
@@ -140,7 +140,7 @@
         made.admission = copy(self.admission)
         return made
 
-    def act(self, now: int, sent: list[Sent]) -> list[Any]:
+    def act(self, now: int, sent: list[OutgoingMessage]) -> list[Any]:
         """Go on after something that the member did."""
         return self._settle(now, sent)
 
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -14,7 +14,7 @@
 
 from tansykeel.cluster.failure_detector import DetectorConfig
 from tansykeel.cluster.gossip import MemberState
-from tansykeel.cluster.member import ClusterMember, ClusterMessage, Placement, Sent
+from tansykeel.cluster.member import ClusterMember, ClusterMessage, OutgoingMessage, Placement
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import CloseConnection, ConnectionId, NodeAction, SendToGateway, SendToNode, SessionTerms
@@ -170,7 +170,7 @@
 
     # Within: the region's nodes
 
-    def _settle(self, now: int, sent: list[Sent]) -> list[NodeAction]:
+    def _settle(self, now: int, sent: list[OutgoingMessage]) -> list[NodeAction]:
         """Follow what an event changed, and propose what the budget needs then."""
         self.budget.observe(now)
         if self.budget.begins_to_register(now):
@@ -182,7 +182,7 @@
         told = self._tell_commits(now)
         return [SendToNode(node, message) for node, message in [*sent, *proposed, *told]]
 
-    def _tell_commits(self, now: int) -> list[Sent]:
+    def _tell_commits(self, now: int) -> list[OutgoingMessage]:
         """Tell the others at once what was decided: a budget that grew should be of use before the next entry."""
         replicated_log = self.member.replicated_log
         if replicated_log is None or not replicated_log.leads or replicated_log.commit == self._told_commit:
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from tansykeel.cluster.gossip import MemberState
-from tansykeel.cluster.member import ClusterMember, Sent
+from tansykeel.cluster.member import ClusterMember, OutgoingMessage
 from tansykeel.edge.clock import clock
 from tansykeel.edge.core import Core
 from tansykeel.interface import State as StoreState
@@ -46,7 +46,7 @@
         addresses: dict[str, str],
         served: dict[str, list[int]],
         tell: Callable[[str, MaintenanceMessage], None],
-        sent: Callable[[list[Sent]], None],
+        sent: Callable[[list[OutgoingMessage]], None],
         log: Any,
     ) -> None:
         self.state, self.cluster_member, self.core, self.addresses, self.served = (
--- a/tansykeel/emulator/cluster_simulation.py
+++ b/tansykeel/emulator/cluster_simulation.py
@@ -13,7 +13,7 @@
 
 from tansykeel.cluster.failure_detector import SECOND, DetectorConfig
 from tansykeel.cluster.gossip import MemberState
-from tansykeel.cluster.member import ClusterMember, ClusterMessage, Placement, Sent
+from tansykeel.cluster.member import ClusterMember, ClusterMessage, OutgoingMessage, Placement
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.messages import CODEC
 from tansykeel.cluster.view_agreement import LeaseTerms
@@ -175,7 +175,7 @@
         if self.now() >= self.all[name].due():
             self._step(name, lambda: self.all[name].tick(self.now(), self.wall_ms()))
 
-    def _step(self, name: str, step: Callable[[], list[Sent]]) -> None:
+    def _step(self, name: str, step: Callable[[], list[OutgoingMessage]]) -> None:
         """What a gateway does, the time that it takes, and what comes of it."""
         begun = process_time()
         sent = step()
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -10,7 +10,7 @@
 
 from tansykeel.audit.records import Counted, Listed, Said
 from tansykeel.cluster.member import ClusterMember, ClusterMessage
-from tansykeel.cluster.member import Sent as FleetSent
+from tansykeel.cluster.member import OutgoingMessage as FleetSent
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.messages import CODEC
 from tansykeel.edge.core import Core
