--- a/tansykeel/cluster/allotments.py
+++ b/tansykeel/cluster/allotments.py
@@ -19,9 +19,9 @@
     def __init__(self, gateways: int, least: Fraction, now: int) -> None:
         self.gateways, self.least = gateways, float(least * gateways)
         self.spans: deque[tuple[int, int, float]] = deque(maxlen=MOST)  # since, until at most, even parts
-        self.put(now, least, 0)
+        self.set_part(now, least, 0)
 
-    def put(self, now: int, part: Fraction, until: int) -> None:
+    def set_part(self, now: int, part: Fraction, until: int) -> None:
         """From now on this part counts, up to `until` (0: for good)."""
         scale, until = float(part * self.gateways), until or FOREVER
         if self.spans and self.spans[-1][2] == scale and self.spans[-1][1] >= now:
--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -138,7 +138,7 @@
     def _record_part(self, now: int) -> None:
         if (counted := self.counts(now)) != self.counted:
             self.counted = counted
-            self.allotments.put(now, counted[1], counted[2])
+            self.allotments.set_part(now, counted[1], counted[2])
 
     def _tick(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
         sent: list[OutgoingMessage] = []
--- a/tansykeel/control/held_lease.py
+++ b/tansykeel/control/held_lease.py
@@ -47,4 +47,4 @@
         counted = self.counts(now)
         if counted != self._recorded:
             self._recorded = counted
-            self.allotments.put(now, part_of(counted.units, self.gateways), counted.until)
+            self.allotments.set_part(now, part_of(counted.units, self.gateways), counted.until)
