--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -262,7 +262,7 @@
         names = {member.name for member in stay}
         come = [
             self._member(name, others[name].incarnation)
-            for name in self.failure_detector.steady(now)
+            for name in self.failure_detector.stable_members(now)
             if name in others and name not in names
         ]
         return tuple(sorted([*stay, *come]))
@@ -270,7 +270,7 @@
     def _form(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
         """No view works: the first by name forms one, if every name of the settings is there, or whoever was told that
         it may without the others."""
-        steady = self.failure_detector.steady(now)
+        steady = self.failure_detector.stable_members(now)
         without = tuple(sorted(self.without))
         if len({*steady, *without}) < len(self.places) or steady[0] != self.me.name and not without:
             return []
