--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -186,9 +186,9 @@
             # A member learns of a suspicion in time to refute it: those that this member suspects itself are pinged in
             # every period, with the suspicion in the gossip.
             sent += [
-                self._ping(now, other, None)
-                for other in self.suspicion_deadlines
-                if self.name in other.suspected_by and other is not target
+                self._ping(now, suspect, None)
+                for suspect in self.suspicion_deadlines
+                if self.name in suspect.suspected_by and suspect is not target
             ]
         return sent
 
