--- a/tansykeel/cluster/gossip.py
+++ b/tansykeel/cluster/gossip.py
@@ -1,6 +1,7 @@
-"""News of gateways, and those that wait to be told: the urgent first, then what was told least. Without I/O.
+"""Gossip about members, and the queue of items to send: urgent ones first, then those sent least often. Does no I/O.
 
-A line for each number of times told, so that a message costs what it carries and not what waits.
+The queue keeps one bucket for each number of transmissions, so that taking items for a message costs time by the
+number taken and not by the length of the queue.
 """
 
 from __future__ import annotations
@@ -11,13 +12,19 @@
 
 
 class MemberState(IntEnum):
+    """State in which a member is believed to be, from best to worst."""
+
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
 
 
 class GossipItem(Struct, frozen=True, array_like=True):
-    """What is said of a gateway: its start (`life`), how often it denied a suspicion since, by whom it is suspected."""
+    """Claim that the member `name` is in the state `seems`.
+
+    `life` is the member's incarnation, `denials` the number of suspicions that it refuted in this incarnation, and
+    `by` the member that suspects it or declared it dead.
+    """
 
     name: str
     seems: MemberState
@@ -26,51 +33,57 @@
     by: str = ""
 
     @property
-    def greeting(self) -> bool:
+    def is_announcement(self) -> bool:
+        """Whether the item announces a member that started and refutes nothing."""
         return self.seems is MemberState.ALIVE and not self.denials
 
 
 class GossipQueue:
-    """One news of each gateway, the newest; each is let go after it was told `most` times."""
+    """The newest item about each member. An item is removed once it was sent a given number of times."""
 
     def __init__(self) -> None:
-        # Guards against denials that come too late: a fleet that starts has hundreds of greetings to tell.
-        self._lines: dict[bool, list[dict[str, GossipItem]]] = {
+        # By whether the items are announcements, then by number of transmissions. Announcements come last: a cluster
+        # that starts has hundreds of them, behind which refutations would be sent too late.
+        self._buckets: dict[bool, list[dict[str, GossipItem]]] = {
             False: [{}],
             True: [{}],
-        }  # by greeting, then by times told
-        self._place: dict[str, tuple[bool, int]] = {}
+        }
+        self._positions: dict[str, tuple[bool, int]] = {}
 
     def __len__(self) -> int:
-        return len(self._place)
+        return len(self._positions)
+
+    def put(self, item: GossipItem) -> None:
+        """Queue an item; it replaces an earlier one about the same member."""
+        self._remove(item.name)
+        self._insert(item, 0)
 
-    def put(self, news: GossipItem) -> None:
-        self._drop(news.name)
-        self._put(news, 0)
+    def take(self, count: int, max_transmissions: int) -> tuple[GossipItem, ...]:
+        """Return at most `count` items to send next, and count one more transmission of each.
 
-    def take(self, count: int, most: int) -> tuple[GossipItem, ...]:
-        """The next to be told, so many at most; they count as told once more."""
+        An item whose transmissions have reached `max_transmissions` is removed.
+        """
         taken: list[tuple[GossipItem, int]] = []
-        for lines in self._lines.values():
-            for times, line in enumerate(lines):
-                for news in line.values():
+        for buckets in self._buckets.values():
+            for transmissions, bucket in enumerate(buckets):
+                for item in bucket.values():
                     if len(taken) >= count:
                         break
-                    taken.append((news, times))
-        for news, times in taken:
-            self._drop(news.name)
-            if times + 1 < most:
-                self._put(news, times + 1)
-        return tuple(news for news, _ in taken)
-
-    def _put(self, news: GossipItem, times: int) -> None:
-        lines = self._lines[news.greeting]
-        while len(lines) <= times:
-            lines.append({})
-        lines[times][news.name] = news
-        self._place[news.name] = news.greeting, times
-
-    def _drop(self, name: str) -> None:
-        if name in self._place:
-            greeting, times = self._place.pop(name)
-            del self._lines[greeting][times][name]
+                    taken.append((item, transmissions))
+        for item, transmissions in taken:
+            self._remove(item.name)
+            if transmissions + 1 < max_transmissions:
+                self._insert(item, transmissions + 1)
+        return tuple(item for item, _ in taken)
+
+    def _insert(self, item: GossipItem, transmissions: int) -> None:
+        buckets = self._buckets[item.is_announcement]
+        while len(buckets) <= transmissions:
+            buckets.append({})
+        buckets[transmissions][item.name] = item
+        self._positions[item.name] = item.is_announcement, transmissions
+
+    def _remove(self, name: str) -> None:
+        if name in self._positions:
+            is_announcement, transmissions = self._positions.pop(name)
+            del self._buckets[is_announcement][transmissions][name]
