--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -64,7 +64,7 @@
         now: int,
         machine: replicated_log.StateMachine | None = None,
     ) -> None:
-        self.places, self.terms = places, terms
+        self.placements, self.terms = places, terms
         self.failure_detector = FailureDetector(name, places, life, pace, chance, now)
         self.agreement = ViewAgreement(self._member(name, life), tuple(sorted(places)), terms, now)
         self.replicated_log = replicated_log.ReplicatedLog(self.me, machine, terms.lease, now) if machine else None
@@ -223,7 +223,7 @@
         return sent
 
     def _member(self, name: str, life: int) -> Member:
-        return Member(name, life, self.places[name].zone, self.places[name].weight)
+        return Member(name, life, self.placements[name].zone, self.placements[name].weight)
 
     def _change(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
         """Propose the next view if another is wanted, in turn after those that come first by name."""
@@ -272,7 +272,7 @@
         it may without the others."""
         steady = self.failure_detector.stable_members(now)
         without = tuple(sorted(self.without))
-        if len({*steady, *without}) < len(self.places) or steady[0] != self.me.name and not without:
+        if len({*steady, *without}) < len(self.placements) or steady[0] != self.me.name and not without:
             return []
         self.lacking, steady = now, [name for name in steady if name not in self.without]
         others = self.failure_detector.others
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -165,7 +165,7 @@
             budget=self.budget.budget() if self.budget.lease_left(now) else 0,
             admitted=self.admission.admitted,
             rejected=self.admission.rejected + self.rejected,
-            nodes=tuple(self._node_status(name) for name in sorted(self.member.places)),
+            nodes=tuple(self._node_status(name) for name in sorted(self.member.placements)),
         )
 
     # Within: the region's nodes
--- a/tansykeel/edge/cluster_connections.py
+++ b/tansykeel/edge/cluster_connections.py
@@ -25,7 +25,7 @@
 
     def __init__(self, member: ClusterMember, peers: Peers, log: Any) -> None:
         self.member, self.peers, self.log = member, peers, log
-        self.seems = dict.fromkeys(member.places, MemberState.ALIVE)
+        self.seems = dict.fromkeys(member.placements, MemberState.ALIVE)
         self.view: View | None = None
 
     def send(self, name: str, message: ClusterMessage) -> None:
@@ -43,7 +43,7 @@
             message = CODEC.decode(watch.what, watch.word)
         except ValueError as error:
             raise ProtocolError(f"WATCH: {error}") from None
-        place = self.member.places[hello.name]
+        place = self.member.placements[hello.name]
         return Member(hello.name, hello.boot, place.zone, place.weight), message
 
     def log_changes(self) -> None:
@@ -89,7 +89,7 @@
         other, peer = self.member.failure_detector.others[name], self.peers.by_name[name]
         return Fellow(
             name,
-            self.member.places[name].zone,
+            self.member.placements[name].zone,
             SEEMS[other.state] if other.incarnation else "unseen",  # type: ignore[arg-type]
             (now - other.since) * MICROS,
             other.incarnation,
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -135,7 +135,7 @@
         self.pending.pop(name, None)
 
     def _places(self) -> dict[str, Place]:
-        gateways = {name: Place(name, "gateway", place.zone) for name, place in self.cluster_member.places.items()}
+        gateways = {name: Place(name, "gateway", place.zone) for name, place in self.cluster_member.placements.items()}
         stores = {
             str(store.handle): Place(str(store.handle), "store", store.zone, store.shard)
             for store in self.core.stores.values()
@@ -185,9 +185,9 @@
         newer = {name for name in release.went if name not in release.returned}
         sides: tuple[dict[tuple[str, int], Seen], dict[tuple[str, int], Seen]] = ({}, {})
         for name, by_class in told.items():
-            if name in self.state.kept.out or name not in self.cluster_member.places:
+            if name in self.state.kept.out or name not in self.cluster_member.placements:
                 continue
-            side, zone = sides[name not in newer], self.cluster_member.places[name].zone
+            side, zone = sides[name not in newer], self.cluster_member.placements[name].zone
             for of, seen in by_class.items():
                 was = side.get((of, zone), Seen(0, 0))
                 side[of, zone] = Seen(was.tasks + seen.tasks, was.served + min(seen.served, seen.tasks))
--- a/tests/broken_edge.py
+++ b/tests/broken_edge.py
@@ -69,7 +69,7 @@
     """By a view as soon as it is heard of, for good."""
     ClusterMember.counts = lambda self, now: (
         self.agreement.number,
-        SAFE_FRACTION / len(self.places) + (self.agreement.view.part(self.me) if self.agreement.view else 0),
+        SAFE_FRACTION / len(self.placements) + (self.agreement.view.part(self.me) if self.agreement.view else 0),
         now + 10**6,
     )
     return facts
