--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -1,7 +1,9 @@
-"""One gateway in the fleet: it watches the others, agrees on views with them, and proposes the next. Without I/O.
+"""One member of the cluster: it monitors the others, agrees on views with them and proposes the next view.
 
-Of the voters that seem to be there the first by name proposes; the next one does where it is silent for a while. What
-is proposed follows who seems to be there; only what is agreed divides anything.
+Of the voters that are alive, the first by name proposes; the next one proposes if nothing has come of it after a
+lease. Proposals follow the failure detector, which can be wrong; what members divide depends on agreed views only.
+
+Does no I/O. Times are in tenths of a millisecond of the member's own monotonic clock.
 """
 
 from __future__ import annotations
@@ -27,9 +29,9 @@
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
 from tansykeel.errors import Problem
 
-RENEWS = 3  # times in a lease that it is asked for anew
-HOPS = 3  # of an entry on its way to whoever leads
-SILENT = 2  # leases without a working view after which a gateway tries to form one with all others
+RENEWALS_PER_LEASE = 3
+MAX_HOPS = 3  # of a log entry that is forwarded to the leader
+LEASES_BEFORE_FORMING = 2  # time without a working view after which a member tries to form one with all others
 
 
 class MemberStillAlive(Problem, ValueError):
@@ -40,100 +42,114 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """What the settings say of a gateway."""
+    """Zone and weight of a member, from the settings."""
 
     zone: int = 0
     weight: int = 1
 
 
 ClusterMessage = DetectorMessage | ViewMessage | replicated_log.LogMessage
-OutgoingMessage = tuple[str, ClusterMessage]
+OutgoingMessage = tuple[str, ClusterMessage]  # recipient and message
 
 
 class ClusterMember:
-    """`life` is another with each start and later than all before: the wall clock's milliseconds."""
+    """Combines the failure detector, the view agreement and the replicated log of one member.
+
+    `tick` has to be called when it is due, and `heard` for each message that arrives. Each call returns the messages to
+    send.
+    """
 
     def __init__(
         self,
         name: str,
-        places: Mapping[str, Placement],
-        life: int,
-        pace: DetectorConfig,
+        placements: Mapping[str, Placement],
+        incarnation: int,
+        detector_config: DetectorConfig,
         terms: LeaseTerms,
-        chance: Random,
+        rng: Random,
         now: int,
         machine: replicated_log.StateMachine | None = None,
     ) -> None:
-        self.placements, self.terms = places, terms
-        self.failure_detector = FailureDetector(name, places, life, pace, chance, now)
-        self.agreement = ViewAgreement(self._member(name, life), tuple(sorted(places)), terms, now)
+        """`incarnation` has to be higher than that of any earlier start: the wall clock's milliseconds.
+
+        Without a state machine the member keeps no replicated log.
+        """
+        self.placements, self.terms = placements, terms
+        self.failure_detector = FailureDetector(name, placements, incarnation, detector_config, rng, now)
+        self.agreement = ViewAgreement(self._make_member(name, incarnation), tuple(sorted(placements)), terms, now)
         self.replicated_log = replicated_log.ReplicatedLog(self.me, machine, terms.lease, now) if machine else None
-        self.next_renewal, self.lacking, self.differs = now, now, -1  # since when: no working view; others are wanted
+        # Since when there has been no working view, and since when another membership has been wanted (-1: it is not).
+        self.next_renewal, self.no_view_since, self.change_wanted_since = now, now, -1
         self.allotments = Allotments(
-            len(places), SAFE_FRACTION / len(places), now
-        )  # for whatever earns by its part of a whole
-        self.counted = self.counts(now)  # as of its last step
-        self.last_told: dict[str, tuple[int, int]] = {}  # which view others were told of last, and when
-        self.forward_index = 0  # of passing entries on to voters
-        self.number = 0  # of the view that was there when last looked at
-        self.without: set[str] = set()  # names without which an operator says that a view may be formed
+            len(placements), SAFE_FRACTION / len(placements), now
+        )  # for limits that are replenished in proportion to this member's part
+        self.counted = self.counts(now)  # as of the last call
+        self.last_told: dict[str, tuple[int, int]] = {}  # number of the view sent last to each other member, and when
+        self.forward_index = 0  # of the voter to which the last entry was forwarded
+        self.last_number = 0  # of the view that `_propose_change` saw last
+        self.without: set[str] = set()  # members that a view may be formed without, by an operator's statement
 
     @property
     def me(self) -> Member:
+        """This member, as views list it."""
         return self.agreement.me
 
     def part(self, now: int) -> Fraction:
-        """Of any whole: what this gateway may count as its own."""
+        """Return the part of any whole that this member may count as its own."""
         return self.agreement.part(now)
 
     def counts(self, now: int) -> tuple[int, Fraction, int]:
-        """The view that it counts by, its part, and until when that holds if nothing more is heard (0: for good)."""
+        """Return the number of the member's view, its part, and when that expires without renewal (0: never)."""
         until = self.agreement.until()
         return self.agreement.number, self.part(now), until if until > now else 0
 
     def due(self) -> int:
+        """Return when `tick` must be called next."""
         return min(self.next_renewal, self.failure_detector.due())
 
     def tick(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
+        """Do what is due. `wall_ms` is the wall clock, which numbers a view that is formed anew."""
         sent = self._tick(now, wall_ms)
         self._sync_log(now)
         self._record_part(now)
         return sent
 
     def heard(self, now: int, sender: Member, message: ClusterMessage) -> list[OutgoingMessage]:
+        """Handle a message from another member."""
         sent = self._heard(now, sender, message)
         self._sync_log(now)
         self._record_part(now)
         return sent
 
     def offer(self, now: int, entry: bytes) -> tuple[bool, list[OutgoingMessage]]:
-        """An entry for the ledger: added here where this gateway leads it, else passed on. False: nobody to take it."""
+        """Append an entry to the replicated log if this member leads it, else forward it towards the leader.
+
+        Returns False if there is nobody to take the entry.
+        """
         if self.replicated_log is None:
             return False, []
         added, sent = self.replicated_log.offer(now, entry)
-        return (True, list(sent)) if added else self._pass_on(replicated_log.Propose(entry))
+        return (True, list(sent)) if added else self._forward(replicated_log.Propose(entry))
 
     def leave(self, now: int) -> list[OutgoingMessage]:
-        """This gateway ends soon: say so, ask for no lease any more."""
+        """Announce that this member ends soon. It requests no leases from now on."""
         self._record_part(now)
         return list(self.failure_detector.leave(now))
 
     def go_without(self, names: Iterable[str]) -> None:
-        """An operator's word that no process runs under these names: a view may be formed without them.
+        """Accept an operator's statement that no process runs under these names: a view may be formed without them.
 
-        Raises NotGone for a name that is none, or seems to be there.
+        Raises MemberStillAlive for a name that is no other member's, or whose member is considered alive.
         """
         others = self.failure_detector.others
         for name in names:
             if name not in others:
-                raise MemberStillAlive(f"{name!r} is no other gateway of the settings; legal: {', '.join(others)}")
+                raise MemberStillAlive(f"{name!r} is no other member in the settings; legal: {', '.join(others)}")
             if others[name].incarnation and others[name].state is MemberState.ALIVE:
-                raise MemberStillAlive(
-                    f"{name} seems to be there: it was heard of in its life {others[name].incarnation}"
-                )
+                raise MemberStillAlive(f"{name} is considered alive, in its incarnation {others[name].incarnation}")
             self.without.add(name)
 
-    # Within
+    # Internal
 
     def _record_part(self, now: int) -> None:
         if (counted := self.counts(now)) != self.counted:
@@ -145,36 +161,39 @@
         if now >= self.failure_detector.due():
             sent += self.failure_detector.tick(now)
         if now >= self.next_renewal:
-            self.next_renewal = now + self.terms.lease // RENEWS
-            if self.failure_detector.leaving:  # what it holds runs out; as a voter it goes on to grant
+            self.next_renewal = now + self.terms.lease // RENEWALS_PER_LEASE
+            if self.failure_detector.leaving:  # its own lease expires; as a voter it goes on granting leases
                 return sent
             sent += self.agreement.renew(now)
-            sent += self._change(now, wall_ms)
-            sent += self._lead(now)
+            sent += self._propose_change(now, wall_ms)
+            sent += self._tick_log(now)
         return sent
 
     def _heard(self, now: int, sender: Member, message: ClusterMessage) -> list[OutgoingMessage]:
-        # Guards against one that starts anew and learns of no other's life, for that news was told long ago.
+        # A member that just started learns the others' incarnations from their messages: the gossip that announced
+        # them was sent long ago.
         self.failure_detector.observe_incarnation(now, sender.name, sender.incarnation)
-        self.without.discard(sender.name)  # the word on it was wrong, or is no longer right
+        self.without.discard(sender.name)  # the operator's statement was wrong, or does not hold any more
         if isinstance(message, Ping | Ack | Try | NoAnswer):
             return list(self.failure_detector.heard(now, sender.name, message))
         if isinstance(message, replicated_log.LogMessage):
-            return self._of_ledger(now, sender, message)
-        return self._once(now, self.agreement.heard(now, sender, message))
+            return self._handle_log_message(now, sender, message)
+        return self._drop_repeated_views(now, self.agreement.heard(now, sender, message))
 
-    def _of_ledger(self, now: int, sender: Member, word: replicated_log.LogMessage) -> list[OutgoingMessage]:
+    def _handle_log_message(
+        self, now: int, sender: Member, message: replicated_log.LogMessage
+    ) -> list[OutgoingMessage]:
         if self.replicated_log is None:
             return []
-        if isinstance(word, replicated_log.Propose):
-            added, sent = self.replicated_log.offer(now, word.entry)
-            return list(sent) if added else self._pass_on(word)[1]
-        return list(self.replicated_log.heard(now, sender, word))
+        if isinstance(message, replicated_log.Propose):
+            added, sent = self.replicated_log.offer(now, message.entry)
+            return list(sent) if added else self._forward(message)[1]
+        return list(self.replicated_log.heard(now, sender, message))
 
-    def _pass_on(self, offer: replicated_log.Propose) -> tuple[bool, list[OutgoingMessage]]:
-        """To whoever leads as far as is known here, else to a voter, who may know."""
+    def _forward(self, proposal: replicated_log.Propose) -> tuple[bool, list[OutgoingMessage]]:
+        """Forward a log entry to the leader, or to a voter if no other member is known to lead."""
         view = self.agreement.view
-        if self.replicated_log is None or view is None or offer.hops >= HOPS:
+        if self.replicated_log is None or view is None or proposal.hops >= MAX_HOPS:
             return False, []
         to = self.replicated_log.leader
         if to in ("", self.me.name):
@@ -183,75 +202,90 @@
                 return False, []
             self.forward_index = (self.forward_index + 1) % len(others)
             to = others[self.forward_index]
-        return True, [(to, replicated_log.Propose(offer.entry, offer.hops + 1))]
+        return True, [(to, replicated_log.Propose(proposal.entry, proposal.hops + 1))]
 
     def _sync_log(self, now: int) -> None:
-        """The ledger follows the view, and nobody votes for the next one before it has taken the ledger over."""
-        book, agreement = self.replicated_log, self.agreement
-        if book is None:
+        """Bring the log to the agreed view, and the agreement to the state of the log.
+
+        This member votes for a next view only once it has taken over the log under the present one.
+        """
+        log, agreement = self.replicated_log, self.agreement
+        if log is None:
             return
-        if agreement.view is not None and agreement.view is not book.view:
-            book.follow(now, agreement.view)
+        if agreement.view is not None and agreement.view is not log.view:
+            log.follow(now, agreement.view)
         if agreement.formed is not None:
-            book.wedge(agreement.formed.number)
-        agreement.carries = book.carried
-        agreement.stuck = book.stuck
+            log.wedge(agreement.formed.number)
+        agreement.carries = log.carried
+        agreement.stuck = log.stuck
 
-    def _lead(self, now: int) -> list[OutgoingMessage]:
+    def _tick_log(self, now: int) -> list[OutgoingMessage]:
         view = self.agreement.view
         if self.replicated_log is None or view is None or self.me not in view.voters:
             return []
         others = self.failure_detector.others
-        there = sorted(
+        not_dead = sorted(
             voter.name
             for voter in view.voters
             if voter == self.me or voter.name in others and others[voter.name].state is not MemberState.DEAD
         )
-        return list(self.replicated_log.tick(now, there.index(self.me.name)))
+        return list(self.replicated_log.tick(now, not_dead.index(self.me.name)))
+
+    def _drop_repeated_views(self, now: int, answers: list[tuple[str, ViewMessage]]) -> list[OutgoingMessage]:
+        """Drop a Decided that repeats one sent to the same member within a renewal interval.
 
-    def _once(self, now: int, answers: list[tuple[str, ViewMessage]]) -> list[OutgoingMessage]:
-        """Guards against the same view told for each of hundreds of late words of one that slept: once is enough until
-        it would ask again."""
+        A member that stalled sends hundreds of late messages, each of which would be answered with the same view. One
+        copy suffices until its next request is due.
+        """
         sent: list[OutgoingMessage] = []
-        for to, word in answers:
-            if isinstance(word, Decided):
+        for to, message in answers:
+            if isinstance(message, Decided):
                 number, at = self.last_told.get(to, (0, 0))
-                if number == word.view.number and now - at < self.terms.lease // RENEWS:
+                if number == message.view.number and now - at < self.terms.lease // RENEWALS_PER_LEASE:
                     continue
-                self.last_told[to] = word.view.number, now
-            sent.append((to, word))
+                self.last_told[to] = message.view.number, now
+            sent.append((to, message))
         return sent
 
-    def _member(self, name: str, life: int) -> Member:
-        return Member(name, life, self.placements[name].zone, self.placements[name].weight)
+    def _make_member(self, name: str, incarnation: int) -> Member:
+        return Member(name, incarnation, self.placements[name].zone, self.placements[name].weight)
+
+    def _propose_change(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
+        """Propose the next view if another membership is wanted; form a view if none has worked for a while.
 
-    def _change(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
-        """Propose the next view if another is wanted, in turn after those that come first by name."""
+        The voters that are to stay propose one after the other by name, a lease apart; a member without a vote comes
+        last.
+        """
         agreement, view = self.agreement, self.agreement.view
-        if agreement.number != self.number:
-            # Guards against forming again and again: each new view waits for the grants of the one before to end.
-            self.number, self.lacking = agreement.number, now
+        if agreement.number != self.last_number:
+            # A new view works only once the grants of the previous one are over; without a fresh wait another view
+            # would be formed before that, again and again.
+            self.last_number, self.no_view_since = agreement.number, now
         if view is None or not agreement.works(now):
             tried = agreement.forming is not None or view is not None
-            return [] if tried and now - self.lacking < SILENT * self.terms.lease else self._form(now, wall_ms)
-        self.lacking = now
-        wanted = self._wanted(now, view.members)
+            return (
+                []
+                if tried and now - self.no_view_since < LEASES_BEFORE_FORMING * self.terms.lease
+                else self._form_view(now, wall_ms)
+            )
+        self.no_view_since = now
+        wanted = self._wanted_members(now, view.members)
         if wanted == view.members or self.me not in wanted:
-            self.differs = -1
+            self.change_wanted_since = -1
             return []
-        if self.differs < 0:
-            self.differs = now
-        there = sorted(voter.name for voter in view.voters if voter in wanted)
-        turn = there.index(self.me.name) if self.me.name in there else len(there)
-        if now - self.differs < turn * self.terms.lease:
+        if self.change_wanted_since < 0:
+            self.change_wanted_since = now
+        proposers = sorted(voter.name for voter in view.voters if voter in wanted)
+        turn = proposers.index(self.me.name) if self.me.name in proposers else len(proposers)
+        if now - self.change_wanted_since < turn * self.terms.lease:
             return []
-        self.differs = now  # its turn comes again if nothing becomes of it
+        self.change_wanted_since = now  # waits for its turn again if the proposal fails
         return list(agreement.propose(now, wanted))
 
-    def _wanted(self, now: int, members: tuple[Member, ...]) -> tuple[Member, ...]:
-        """Those of the view that are not called dead in this life, and others that are there steadily."""
+    def _wanted_members(self, now: int, members: tuple[Member, ...]) -> tuple[Member, ...]:
+        """Return the members of the view that are not dead in their incarnation, and other members that are stable."""
         others = self.failure_detector.others
-        stay = [
+        staying = [
             m
             for m in members
             if m == self.me
@@ -259,22 +293,24 @@
             and others[m.name].incarnation <= m.incarnation
             and others[m.name].state is not MemberState.DEAD
         ]
-        names = {member.name for member in stay}
-        come = [
-            self._member(name, others[name].incarnation)
+        names = {member.name for member in staying}
+        joining = [
+            self._make_member(name, others[name].incarnation)
             for name in self.failure_detector.stable_members(now)
             if name in others and name not in names
         ]
-        return tuple(sorted([*stay, *come]))
+        return tuple(sorted([*staying, *joining]))
+
+    def _form_view(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
+        """Form a view of all members in the settings if all are stable and this one is the first by name.
 
-    def _form(self, now: int, wall_ms: int) -> list[OutgoingMessage]:
-        """No view works: the first by name forms one, if every name of the settings is there, or whoever was told that
-        it may without the others."""
-        steady = self.failure_detector.stable_members(now)
+        A member that was told to go without some names forms one of the others, whether it is the first or not.
+        """
+        stable = self.failure_detector.stable_members(now)
         without = tuple(sorted(self.without))
-        if len({*steady, *without}) < len(self.placements) or steady[0] != self.me.name and not without:
+        if len({*stable, *without}) < len(self.placements) or stable[0] != self.me.name and not without:
             return []
-        self.lacking, steady = now, [name for name in steady if name not in self.without]
+        self.no_view_since, stable = now, [name for name in stable if name not in self.without]
         others = self.failure_detector.others
-        members = [self.me, *(self._member(name, others[name].incarnation) for name in steady if name in others)]
+        members = [self.me, *(self._make_member(name, others[name].incarnation) for name in stable if name in others)]
         return list(self.agreement.form(now, members, wall_ms, without))
--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -188,7 +188,7 @@
     async def go():
         async with one_node(tmp_path, nodes=3) as (_, address):
             assert (await ask(address, 5)).number == 0
-            with pytest.raises(NotTold, match="'n7' is no other gateway of the settings"):
+            with pytest.raises(NotTold, match="'n7' is no other member in the settings"):
                 await go_without(address, ("n7",), 5)
             await go_without(address, ("n1", "n2"), 5)
             while not (told := await ask(address, 5)).leased:
