--- a/tansykeel/cluster/messages.py
+++ b/tansykeel/cluster/messages.py
@@ -1,4 +1,7 @@
-"""Messages between cluster members as bytes, for whatever carries them: each by its type's name and its fields."""
+"""Encoding of the messages between cluster members: the name of the type, and the fields as bytes.
+
+The name and the fields travel in a record of the connection, which this module does not know.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 from tansykeel.errors import Problem
 from tansykeel.protocol.message_codec import MessageCodec
 
-MOST_BYTES = 60 << 10  # of one message: a view of 1,000 gateways, told with its voters, and some to spare
+MAX_MESSAGE_BYTES = 60 << 10  # fits a Decided with a view of 1,000 members, with some margin
 
 
 class MessageError(Problem, ValueError):
@@ -57,12 +60,12 @@
         replicated_log.Propose,
     ),
     MessageError,
-    MOST_BYTES,
+    MAX_MESSAGE_BYTES,
 )
 
 
 def urgency_of(message: ClusterMessage) -> Urgency:
-    """Return which queue a message waits in."""
+    """Return the urgency with which a message waits to be sent."""
     return Urgency.LIVENESS if isinstance(message, DetectorMessage) else Urgency.PROMISE
 
 
--- a/tansykeel/cluster/send_queue.py
+++ b/tansykeel/cluster/send_queue.py
@@ -1,4 +1,4 @@
-"""Words that wait for a connection to another gateway: the urgent first, the late not at all. Without I/O."""
+"""Messages that wait for a connection to another gateway, by urgency, each up to a maximum age. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,54 +10,55 @@
 
 
 class Urgency(IntEnum):
-    """What goes first where not all can go at once."""
+    """Kinds of messages, the most urgent first."""
 
-    LIVENESS = 0
-    PROMISE = 1
-    HINT = 2
+    LIVENESS = 0  # of the failure detector
+    PROMISE = 1  # of the view agreement and the replicated log
+    HINT = 2  # of the exchange of units of a limit, and of maintenance
 
 
 @dataclass(frozen=True, slots=True)
 class QueueLimit:
-    """`most` words wait, each for `lasts` tenths of a millisecond at most."""
+    """Limits for the messages of one urgency; the age is in tenths of a millisecond."""
 
-    most: int
-    lasts: int
+    max_messages: int
+    max_age: int
 
 
 class SendQueue:
-    """The words to one gateway. Each of them may be lost by what it says, so it may be dropped here too."""
+    """Messages to one gateway. Their protocols tolerate the loss of any message, so the queue may drop them too."""
 
-    def __init__(self, bounds: Mapping[Urgency, QueueLimit]) -> None:
-        self.bounds = bounds
-        self.waiting: dict[Urgency, deque[tuple[int, Any]]] = {urgency: deque() for urgency in sorted(bounds)}
-        self.dropped = dict.fromkeys(sorted(bounds), 0)  # for want of room, or too late
+    def __init__(self, limits: Mapping[Urgency, QueueLimit]) -> None:
+        self.limits = limits
+        self.waiting: dict[Urgency, deque[tuple[int, Any]]] = {urgency: deque() for urgency in sorted(limits)}
+        self.dropped = dict.fromkeys(sorted(limits), 0)  # number of messages that were never sent
 
     def __len__(self) -> int:
         return sum(map(len, self.waiting.values()))
 
-    def put(self, now: int, urgency: Urgency, word: Any) -> None:
-        line, bound = self.waiting[urgency], self.bounds[urgency]
-        if len(line) >= bound.most:  # the newest tells most, so the oldest makes room
-            line.popleft()
+    def put(self, now: int, urgency: Urgency, message: Any) -> None:
+        """Queue a message; if there are too many of its urgency, the oldest of them is dropped."""
+        queue, limit = self.waiting[urgency], self.limits[urgency]
+        if len(queue) >= limit.max_messages:  # the newest message carries the most recent information
+            queue.popleft()
             self.dropped[urgency] += 1
-        line.append((now + bound.lasts, word))
+        queue.append((now + limit.max_age, message))
 
     def take(self, now: int) -> Any:
-        """The next word to send, None where nothing waits that is still in time."""
-        for urgency, line in self.waiting.items():
-            while line:
-                until, word = line.popleft()
-                if now < until:
-                    return word
-                # Guards against a connection that was cut for long: what it would tell now is past.
+        """Return the next message to send, or None if none waits that has not expired."""
+        for urgency, queue in self.waiting.items():
+            while queue:
+                expires, message = queue.popleft()
+                if now < expires:
+                    return message
+                # After a long loss of the connection, what the message says is out of date.
                 self.dropped[urgency] += 1
         return None
 
-    def drop(self, urgency: Urgency, moot: Callable[[Any], bool]) -> None:
-        """Let go of the waiting words that became moot, by a view that was followed since."""
-        line = self.waiting[urgency]
-        kept = [(until, word) for until, word in line if not moot(word)]
-        self.dropped[urgency] += len(line) - len(kept)
-        line.clear()
-        line.extend(kept)
+    def drop(self, urgency: Urgency, is_obsolete: Callable[[Any], bool]) -> None:
+        """Drop the messages that became obsolete, such as those about a view that was succeeded by another."""
+        queue = self.waiting[urgency]
+        kept = [(expires, message) for expires, message in queue if not is_obsolete(message)]
+        self.dropped[urgency] += len(queue) - len(kept)
+        queue.clear()
+        queue.extend(kept)
--- a/tests/cluster/test_send_queue.py
+++ b/tests/cluster/test_send_queue.py
@@ -1,4 +1,4 @@
-"""What waits for a connection: order by urgency, bounds, lateness; and words as bytes."""
+"""Send queue: order by urgency, limits and expiry. Encoding of messages."""
 
 import msgspec
 import pytest
@@ -6,54 +6,59 @@
 from tansykeel.cluster.failure_detector import Ping
 from tansykeel.cluster.gossip import GossipItem, MemberState
 from tansykeel.cluster.membership import Decided, Form, LeaseRequest, Member, Promise, Revoked, View
-from tansykeel.cluster.messages import CODEC, MOST_BYTES, urgency_of, view_number
+from tansykeel.cluster.messages import CODEC, MAX_MESSAGE_BYTES, urgency_of, view_number
 from tansykeel.cluster.send_queue import QueueLimit, SendQueue, Urgency
 
-BOUNDS = {Urgency.HINT: QueueLimit(2, 100), Urgency.LIVENESS: QueueLimit(2, 10), Urgency.PROMISE: QueueLimit(2, 50)}
+LIMITS = {Urgency.HINT: QueueLimit(2, 100), Urgency.LIVENESS: QueueLimit(2, 10), Urgency.PROMISE: QueueLimit(2, 50)}
 
 
-def taken(box, now):
-    found = []
-    while (word := box.take(now)) is not None:
-        found.append(word)
-    return found
+def take_all(queue, now):
+    messages = []
+    while (message := queue.take(now)) is not None:
+        messages.append(message)
+    return messages
 
 
-def test_the_urgent_goes_first_and_each_kind_in_its_order():
-    box = SendQueue(BOUNDS)
-    for urgency, word in [(Urgency.HINT, "h"), (Urgency.PROMISE, "p"), (Urgency.LIVENESS, "l"), (Urgency.PROMISE, "q")]:
-        box.put(0, urgency, word)
-    assert len(box) == 4 and taken(box, 1) == ["l", "p", "q", "h"] and not len(box)
+def test_messages_are_sent_by_urgency_and_in_order_within_it():
+    queue = SendQueue(LIMITS)
+    for urgency, message in [
+        (Urgency.HINT, "h"),
+        (Urgency.PROMISE, "p"),
+        (Urgency.LIVENESS, "l"),
+        (Urgency.PROMISE, "q"),
+    ]:
+        queue.put(0, urgency, message)
+    assert len(queue) == 4 and take_all(queue, 1) == ["l", "p", "q", "h"] and not len(queue)
 
 
-def test_what_is_too_late_is_dropped_where_it_waits():
-    box = SendQueue(BOUNDS)
+def test_expired_messages_are_dropped():
+    queue = SendQueue(LIMITS)
     for urgency in Urgency:
-        box.put(0, urgency, urgency.name)
-    assert taken(box, 50) == ["HINT"]
-    assert box.dropped == {Urgency.LIVENESS: 1, Urgency.PROMISE: 1, Urgency.HINT: 0}
+        queue.put(0, urgency, urgency.name)
+    assert take_all(queue, 50) == ["HINT"]
+    assert queue.dropped == {Urgency.LIVENESS: 1, Urgency.PROMISE: 1, Urgency.HINT: 0}
 
 
-def test_one_kind_in_a_crowd_takes_no_room_of_another_and_keeps_the_newest():
-    box = SendQueue(BOUNDS)
-    box.put(0, Urgency.LIVENESS, "l")
+def test_each_urgency_has_a_limit_of_its_own_and_keeps_the_newest():
+    queue = SendQueue(LIMITS)
+    queue.put(0, Urgency.LIVENESS, "l")
     for number in range(9):
-        box.put(0, Urgency.HINT, number)
-    assert taken(box, 1) == ["l", 7, 8] and box.dropped[Urgency.HINT] == 7
+        queue.put(0, Urgency.HINT, number)
+    assert take_all(queue, 1) == ["l", 7, 8] and queue.dropped[Urgency.HINT] == 7
 
 
-def test_moot_words_are_let_go():
-    box = SendQueue(BOUNDS)
-    box.put(0, Urgency.PROMISE, 3)
-    box.put(0, Urgency.PROMISE, 4)
-    box.drop(Urgency.PROMISE, lambda word: word < 4)
-    assert taken(box, 1) == [4] and box.dropped[Urgency.PROMISE] == 1
+def test_obsolete_messages_are_dropped():
+    queue = SendQueue(LIMITS)
+    queue.put(0, Urgency.PROMISE, 3)
+    queue.put(0, Urgency.PROMISE, 4)
+    queue.drop(Urgency.PROMISE, lambda message: message < 4)
+    assert take_all(queue, 1) == [4] and queue.dropped[Urgency.PROMISE] == 1
 
 
-def test_each_kind_of_word_comes_back_as_it_was():
+def test_messages_are_decoded_as_they_were_encoded():
     a, b = Member("a", 2**60, 3, 2), Member("b", 1)
     view = View(7, (a, b), (a,), (b,))
-    words = [
+    messages = [
         Ping(1, (GossipItem("b", MemberState.SUSPECT, 2, 1, "a"),)),
         Promise(6, (2, "a"), (1, "b"), view),
         Promise(6, (2, "a"), (0, ""), None),
@@ -62,26 +67,26 @@
         LeaseRequest(6, -5),
         Revoked(7),
     ]
-    assert [CODEC.decode(*CODEC.encode(word)) for word in words] == words
-    assert [view_number(word) for word in words] == [None, 6, 6, 7, 7, 6, 7]
-    assert [urgency_of(word) for word in words[:2]] == [Urgency.LIVENESS, Urgency.PROMISE]
+    assert [CODEC.decode(*CODEC.encode(message)) for message in messages] == messages
+    assert [view_number(message) for message in messages] == [None, 6, 6, 7, 7, 6, 7]
+    assert [urgency_of(message) for message in messages[:2]] == [Urgency.LIVENESS, Urgency.PROMISE]
     assert len(CODEC.kinds) == 22
 
 
-def test_a_view_of_a_thousand_fits_a_frame():
+def test_a_view_of_a_thousand_members_fits_a_message():
     members = tuple(Member(f"edge-{n}", 2**60 + n, n % 3) for n in range(1000))
-    assert len(CODEC.encode(Decided(View(9, members, members[:5], members[:5])))[1]) <= MOST_BYTES
+    assert len(CODEC.encode(Decided(View(9, members, members[:5], members[:5])))[1]) <= MAX_MESSAGE_BYTES
 
 
 @pytest.mark.parametrize(
-    "what, data, says",
+    "name, data, error",
     [
         ("Poke", b"", "legal: Ping"),
         ("LeaseRequest", b"\x01", "message 'LeaseRequest'"),
         ("LeaseRequest", msgspec.msgpack.encode([1]), "length"),
-        ("Decided", bytes(MOST_BYTES + 1), "bytes; legal"),
+        ("Decided", bytes(MAX_MESSAGE_BYTES + 1), "bytes; legal"),
     ],
 )
-def test_what_is_no_word_is_refused(what, data, says):
-    with pytest.raises(ValueError, match=says):
-        CODEC.decode(what, data)
+def test_what_is_no_message_is_rejected(name, data, error):
+    with pytest.raises(ValueError, match=error):
+        CODEC.decode(name, data)
