--- a/tansykeel/cluster/__init__.py
+++ b/tansykeel/cluster/__init__.py
@@ -1,5 +1,6 @@
-"""Gateways that know each other: who is there, since when that is agreed, and what each may count as its part.
+"""Cluster of gateways: failure detection, agreed membership, and the part of each limit that every member may use.
 
-Decisions without I/O: events with a time in, messages out. `docs/cluster.md` has the argument. Only where settings name
-peers; the platform's gateway imports none of it.
+Makes decisions without I/O: it takes events with their times and returns messages. `docs/cluster.md` argues why it is
+correct. Control nodes use it, and gateways whose settings name peers or control nodes; the platform's gateway imports
+none of it.
 """
