--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -77,13 +77,11 @@
     min_suspicion_periods: float = 2.0
     max_suspicion_periods: float = 6.0
     confirmations: int = 3  # further members that share a suspicion, after which it lasts the minimum time
-    max_health_score: int = 8
+    max_health_score: int = 8  # of the local health score, with which periods and timeouts grow
     gossip_items: int = 6  # in one message; if more are queued, a third of the queue, up to `max_gossip_items`
     max_gossip_items: int = 64
     transmit_factor: float = 3.0  # each item is sent this often, times the logarithm of the cluster's size
-    stable_after: int = (
-        2 * SECOND
-    )  # time alive until a member counts as stable; doubled by each recent failure, up to 5
+    stable_after: int = 2 * SECOND  # time alive until a member is stable; doubled by each recent failure, up to 5
     flap_window: int = 60 * SECOND  # a failure is forgotten after this time
 
 
@@ -123,7 +121,7 @@
         """`name` is this member's own; `names` are those of all members, with or without it."""
         self.name, self.incarnation, self.config, self.rng = name, incarnation, config, rng
         self.others = {other: RemoteMember(other, since=now) for other in names if other != name}
-        self.refutations = self.health_score = self.seq = 0
+        self.refutations = self.health_score = self.seq = 0  # a health score of 0 is perfect health
         self.leaving = False
         self.changed: dict[RemoteMember, None] = {}  # members that changed since `take_changes` was called
         self.probe_order: list[RemoteMember] = []  # members still to be pinged in this round
@@ -183,8 +181,8 @@
             self.next_probe = now + self.config.period * (1 + self.health_score)
             if (target := self._next_target()) is not None:
                 sent.append(self._ping(now, target, None))
-            # A member learns of a suspicion in time to refute it: those that this member suspects itself are pinged in
-            # every period, with the suspicion in the gossip.
+            # Every member that this one suspects is pinged in each period, with the suspicion in the gossip: otherwise
+            # it could learn of the suspicion too late to refute it.
             sent += [
                 self._ping(now, suspect, None)
                 for suspect in self.suspicion_deadlines
@@ -266,6 +264,7 @@
         return []
 
     def _adjust_health(self, change: int) -> None:
+        """Change the local health score, within its range; a positive change is for the worse."""
         self.health_score = min(max(self.health_score + change, 0), self.config.max_health_score)
 
     def _next_target(self) -> RemoteMember | None:
@@ -276,6 +275,7 @@
         return self.probe_order.pop() if self.probe_order else None
 
     def _log_size(self) -> float:
+        """Return the decimal logarithm of the cluster's size, but at least 1."""
         return max(math.log10(len(self.others) + 2), 1.0)
 
     def _suspicion_timeout(self, suspecting: int) -> int:
--- a/tansykeel/cluster/gossip.py
+++ b/tansykeel/cluster/gossip.py
@@ -23,7 +23,8 @@
     """Claim that the member `name` is in the state `seems`.
 
     `life` is the member's incarnation, `denials` the number of suspicions that it refuted in this incarnation, and
-    `by` the member that suspects it or declared it dead.
+    `by` the member that suspects it or declared it dead. SWIM's incarnation number corresponds to `life` and `denials`
+    together.
     """
 
     name: str
--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -80,9 +80,8 @@
         self.replicated_log = replicated_log.ReplicatedLog(self.me, machine, terms.lease, now) if machine else None
         # Since when there has been no working view, and since when another membership has been wanted (-1: it is not).
         self.next_renewal, self.no_view_since, self.change_wanted_since = now, now, -1
-        self.allotments = Allotments(
-            len(placements), SAFE_FRACTION / len(placements), now
-        )  # for limits that are replenished in proportion to this member's part
+        # For limits that are replenished in proportion to this member's part.
+        self.allotments = Allotments(len(placements), SAFE_FRACTION / len(placements), now)
         self.counted = self.counts(now)  # as of the last call
         self.last_told: dict[str, tuple[int, int]] = {}  # number of the view sent last to each other member, and when
         self.forward_index = 0  # of the voter to which the last entry was forwarded
