--- a/tansykeel/audit/cluster.py
+++ b/tansykeel/audit/cluster.py
@@ -17,7 +17,7 @@
 from tansykeel.audit.rules import SLACK, Break
 from tansykeel.cluster.member import ClusterMessage
 from tansykeel.cluster.membership import (
-    SAFE,
+    SAFE_FRACTION,
     Accepted,
     Decided,
     Form,
@@ -30,7 +30,7 @@
     View,
     majority,
 )
-from tansykeel.cluster.messages import CODEC, number_of
+from tansykeel.cluster.messages import CODEC, view_number
 from tansykeel.cluster.view_agreement import LeaseTerms
 
 TENTH = 100  # microseconds
@@ -63,7 +63,7 @@
     def seen(said: Said) -> Seen:
         word = CODEC.decode(said.what, said.word)
         if isinstance(word, Stepped) and (before := views.get(word.number - 1)) is not None:
-            word = Decided(word.after(before))
+            word = Decided(word.apply_to(before))
         if isinstance(word, Decided | Form | Formed):
             views.setdefault(word.view.number, word.view)
         return Seen(said.at, said.passed, said.edge, said.life, said.hearer, word)
@@ -85,7 +85,7 @@
     """A gateway grants and votes for no view after it was heard to know a later one."""
     known: dict[tuple[str, int], tuple[int, int]] = {}  # by life: the latest number and since when
     for seen in law.words:
-        number, who = number_of(seen.word), (seen.edge, seen.life)
+        number, who = view_number(seen.word), (seen.edge, seen.life)
         if number is None:
             continue
         latest, since = known.get(who, (0, 0))
@@ -145,7 +145,7 @@
 
 def parts(passed: Passed, law: FleetLaw) -> Iterator[Break]:
     """No part without the leases for it, and never more than the whole together."""
-    safe, leases = SAFE / law.gateways, Leases(law)
+    safe, leases = SAFE_FRACTION / law.gateways, Leases(law)
     for one in passed.counted:
         if one.share <= safe:
             continue
@@ -191,7 +191,7 @@
 
 def counted_mean(passed: Passed, law: FleetLaw) -> float:
     """How much of a whole was counted on in the mean over the day, from the first word on."""
-    safe = SAFE / law.gateways
+    safe = SAFE_FRACTION / law.gateways
     events = sorted(passed.counted, key=lambda one: one.at)
     if not events:
         return 0.0
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -22,8 +22,8 @@
 
 from tansykeel.cluster.membership import (
     NEVER,
-    NONE,
-    SAFE,
+    NO_BALLOT,
+    SAFE_FRACTION,
     Accept,
     Accepted,
     Ballot,
@@ -33,16 +33,16 @@
     LeaseGrant,
     LeaseRequest,
     Member,
+    OutgoingMessage,
     Prepare,
     Promise,
     Revoked,
-    Sent,
     Stepped,
     View,
     ViewMessage,
+    choose_voters,
     majority,
-    step,
-    voters_of,
+    view_delta,
 )
 
 
@@ -70,7 +70,7 @@
     ballot: Ballot
     view: View
     promises: set[Member] = field(default_factory=set)
-    highest: Ballot = NONE
+    highest: Ballot = NO_BALLOT
     accepted: set[Member] = field(default_factory=set)
     asking: bool = False  # past the promises: the view is settled and acceptance asked for
 
@@ -92,7 +92,7 @@
         self.ends = now  # the same for earlier views; what an earlier life granted binds no one but that life
         self.grants: dict[Member, int] = {}  # of the present view: until when each counts here
         self.ended: dict[Member, int] = {}  # by member: under which number nothing is granted any more
-        self.promised, self.accepted = NONE, NONE  # for the successor of the present view
+        self.promised, self.accepted = NO_BALLOT, NO_BALLOT  # for the successor of the present view
         self.next: View | None = None
         self.formed: View | None = None  # the formed view with the highest number that was taken up
         self.proposal: Proposal | None = None
@@ -131,7 +131,7 @@
 
     def part(self, now: int) -> Fraction:
         """Of any whole, what this gateway may count as its own now: at least its even part of the safe ones."""
-        safe = SAFE / len(self.names)
+        safe = SAFE_FRACTION / len(self.names)
         if self.view is None or not self.leased(now):
             return safe
         mine = self.view.part(self.me)
@@ -141,9 +141,9 @@
 
     # Steps that this gateway takes
 
-    def renew(self, now: int) -> list[Sent]:
+    def renew(self, now: int) -> list[OutgoingMessage]:
         """Ask for the lease anew, and go on with whatever waits for an answer. To be called several times a lease."""
-        sent: list[Sent] = []
+        sent: list[OutgoingMessage] = []
         if self.view and self.me in self.view.members:
             sent += self._to(self.view.voters, LeaseRequest(self.number, now))
             sent += self._grant(now, self.me, LeaseRequest(self.number, now))
@@ -159,7 +159,7 @@
             sent += self._to(self.forming[0].view.members, self.forming[0])
         return sent
 
-    def propose(self, now: int, members: Iterable[Member]) -> list[Sent]:
+    def propose(self, now: int, members: Iterable[Member]) -> list[OutgoingMessage]:
         """Propose the members of the next view; nothing happens where this gateway may not, or nothing would change.
 
         At most one life of each name, this gateway among them or not.
@@ -170,11 +170,13 @@
         if self.view is None or not self.active or self.me not in self.view.members or chosen == self.view.members:
             return []
         ballot = max(self.promised[0], self.proposal.ballot[0] if self.proposal else 0) + 1, self.me.name
-        voters = voters_of(chosen, self.terms.voters, self.view.voters)
+        voters = choose_voters(chosen, self.terms.voters, self.view.voters)
         self.proposal = Proposal(ballot, View(self.number + 1, chosen, voters, self.view.voters))
         return self._put(now, self.proposal, self.view)
 
-    def form(self, now: int, members: Iterable[Member], stamp: int, without: tuple[str, ...] = ()) -> list[Sent]:
+    def form(
+        self, now: int, members: Iterable[Member], stamp: int, without: tuple[str, ...] = ()
+    ) -> list[OutgoingMessage]:
         """Ask all names of the settings to take up a view of them all, but those `without` which an operator says that
         it may be formed; `stamp` is the wall clock's, in milliseconds.
 
@@ -184,7 +186,7 @@
         chosen = tuple(sorted(members))
         if not self._all_named(chosen, without) or self.me not in chosen:
             return []
-        view = View(max(stamp, self.latest + 1), chosen, voters_of(chosen, self.terms.voters))
+        view = View(max(stamp, self.latest + 1), chosen, choose_voters(chosen, self.terms.voters))
         if not self._takes_up(now, view):
             return []
         self.formed, self.forming = view, (Form(view, without), {self.me})
@@ -192,14 +194,14 @@
 
     # What comes in
 
-    def heard(self, now: int, sender: Member, message: ViewMessage) -> list[Sent]:
+    def heard(self, now: int, sender: Member, message: ViewMessage) -> list[OutgoingMessage]:
         """A message of another gateway, late or repeated as it may be."""
         match message:
             case Decided(view):
                 return self._follow(now, view)
             case Stepped():
                 if message.number == self.number + 1 and self.view:
-                    return self._follow(now, message.after(self.view))
+                    return self._follow(now, message.apply_to(self.view))
                 return [(sender.name, LeaseRequest(self.number, now))] if message.number > self.number else []
             case Revoked(number):
                 self.ended[sender] = max(self.ended.get(sender, 0), number)
@@ -287,10 +289,10 @@
 
     # Within
 
-    def _to(self, members: Iterable[Member], message: ViewMessage) -> list[Sent]:
+    def _to(self, members: Iterable[Member], message: ViewMessage) -> list[OutgoingMessage]:
         return [(member.name, message) for member in members if member.name != self.me.name]
 
-    def _put(self, now: int, proposal: Proposal, view: View) -> list[Sent]:
+    def _put(self, now: int, proposal: Proposal, view: View) -> list[OutgoingMessage]:
         """Ask the voters of the present view; its own vote, if it has one, is there without a way."""
         word = proposal.word(view.number)
         sent = self._to(view.voters, word)
@@ -298,7 +300,7 @@
             sent += self.heard(now, self.me, answer)
         return sent
 
-    def _grant(self, now: int, member: Member, ask: LeaseRequest) -> list[Sent]:
+    def _grant(self, now: int, member: Member, ask: LeaseRequest) -> list[OutgoingMessage]:
         if self.view is None or ask.number != self.number or self.me not in self.view.voters:
             return []
         self.bound = max(self.bound, now + self.terms.binds())
@@ -322,7 +324,7 @@
         self.accepted, self.next = message.ballot, message.view
         return Accepted(message.number, message.ballot)
 
-    def _promised(self, now: int, sender: Member, promise: Promise) -> list[Sent]:
+    def _promised(self, now: int, sender: Member, promise: Promise) -> list[OutgoingMessage]:
         proposal, view = self.proposal, self.view
         if proposal is None or view is None or proposal.asking or promise.ballot != proposal.ballot:
             return []
@@ -334,7 +336,7 @@
         proposal.asking = True
         return self._put(now, proposal, view)
 
-    def _accepted(self, now: int, sender: Member, accepted: Accepted) -> list[Sent]:
+    def _accepted(self, now: int, sender: Member, accepted: Accepted) -> list[OutgoingMessage]:
         proposal, view = self.proposal, self.view
         if proposal is None or view is None or accepted.ballot != proposal.ballot:
             return []
@@ -343,7 +345,7 @@
             return []
         were = set(view.members)
         joined = [member for member in proposal.view.members if member not in were]
-        told = self._to(view.members, step(view, proposal.view)) + self._to(joined, Decided(proposal.view))
+        told = self._to(view.members, view_delta(view, proposal.view)) + self._to(joined, Decided(proposal.view))
         return told + self._follow(now, proposal.view)
 
     def _all_named(self, members: tuple[Member, ...], without: tuple[str, ...]) -> bool:
@@ -353,13 +355,13 @@
         """A formed view: by who is in it, knows of nothing later, and has no working view to lose."""
         return self.me in view.members and view.number > self.latest and not self.works(now)
 
-    def _all_formed(self, now: int) -> list[Sent]:
+    def _all_formed(self, now: int) -> list[OutgoingMessage]:
         if self.forming is None or len(self.forming[1]) < len(self.forming[0].view.members):
             return []
         view, self.forming = self.forming[0].view, None
         return self._to(view.members, Decided(view)) + self._follow(now, view)
 
-    def _follow(self, now: int, view: View) -> list[Sent]:
+    def _follow(self, now: int, view: View) -> list[OutgoingMessage]:
         """A view was decided. From now on nothing is granted for an earlier one."""
         if view.number <= self.number:
             return []
@@ -367,13 +369,13 @@
         stepped = self.view is not None and view.electors and view.number == self.number + 1
         self.was = self.view.part(self.me) if stepped and self.view else Fraction(0)
         self.view, self.active, self.grants, self.ends = view, False, {}, max(self.ends, self.bound)
-        self.promised, self.accepted, self.next, self.proposal = NONE, NONE, None, None
+        self.promised, self.accepted, self.next, self.proposal = NO_BALLOT, NO_BALLOT, None, None
         if self.forming and self.forming[0].view.number <= view.number:
             self.forming = None
         self._look()
         return self.renew(now)
 
-    def _end_grants(self, now: int) -> list[Sent]:
+    def _end_grants(self, now: int) -> list[OutgoingMessage]:
         """Once all that was granted for earlier views is over: say so. Repeated, for words get lost."""
         said = self.ended.get(self.me, 0) >= self.number
         if self.view is None or self.active and said:
@@ -383,10 +385,10 @@
                 return []
             self.ended[self.me] = self.number
             self._look()
-        enders, _ = self.view.enders()
-        return self._to(self.view.voters, Revoked(self.number)) if self.me in enders else []
+        revokers, _ = self.view.revokers()
+        return self._to(self.view.voters, Revoked(self.number)) if self.me in revokers else []
 
     def _look(self) -> None:
         if self.view and not self.active:
-            enders, enough = self.view.enders()
-            self.active = sum(self.ended.get(member, 0) >= self.number for member in enders) >= enough
+            revokers, enough = self.view.revokers()
+            self.active = sum(self.ended.get(member, 0) >= self.number for member in revokers) >= enough
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -12,8 +12,8 @@
 from random import Random
 from typing import Any, cast
 
-from tansykeel.cluster.failure_detector import FailureDetector, Pace
-from tansykeel.cluster.member import ClusterMember, Place, Sent
+from tansykeel.cluster.failure_detector import DetectorConfig, FailureDetector
+from tansykeel.cluster.member import ClusterMember, OutgoingMessage, Placement
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.replicated_log import ReplicatedLog, StateMachine
 from tansykeel.cluster.view_agreement import LeaseTerms
@@ -37,10 +37,10 @@
     others: Mapping[str, Any] = {}
     leaving = False
 
-    def met(self, now: int, name: str, incarnation: int) -> None:
+    def observe_incarnation(self, now: int, name: str, incarnation: int) -> None:
         """Take no notice of a message."""
 
-    def leave(self, now: int) -> list[Sent]:
+    def leave(self, now: int) -> list[OutgoingMessage]:
         """Tell nobody."""
         return []
 
@@ -53,9 +53,9 @@
     def __init__(
         self,
         name: str,
-        places: Mapping[str, Place],
+        places: Mapping[str, Placement],
         life: int,
-        pace: Pace,
+        pace: DetectorConfig,
         terms: LeaseTerms,
         chance: Random,
         now: int,
@@ -76,28 +76,28 @@
         """Return when `tick` is due: never, for the search says when it renews."""
         return NEVER_DUE
 
-    def renew(self, now: int) -> list[Sent]:
+    def renew(self, now: int) -> list[OutgoingMessage]:
         """Ask for leases anew; as a leader, tell the log again."""
-        sent: list[Sent] = list(self.agreement.renew(now))
+        sent: list[OutgoingMessage] = list(self.agreement.renew(now))
         if self.log.leading is not None:
             sent += self.log.tick(now, 0)
-        self._carry(now)
+        self._sync_log(now)
         return sent
 
-    def lead(self, now: int) -> list[Sent]:
+    def lead(self, now: int) -> list[OutgoingMessage]:
         """Try to lead the log."""
         return list(self.log.lead(now))
 
-    def propose(self, now: int, members: Iterable[Member]) -> list[Sent]:
+    def propose(self, now: int, members: Iterable[Member]) -> list[OutgoingMessage]:
         """Propose the members of the next view."""
-        sent: list[Sent] = list(self.agreement.propose(now, members))
-        self._carry(now)
+        sent: list[OutgoingMessage] = list(self.agreement.propose(now, members))
+        self._sync_log(now)
         return sent
 
-    def form(self, now: int, members: Iterable[Member], stamp: int, without: tuple[str, ...]) -> list[Sent]:
+    def form(self, now: int, members: Iterable[Member], stamp: int, without: tuple[str, ...]) -> list[OutgoingMessage]:
         """Ask all to take up a view that is formed anew."""
-        sent: list[Sent] = list(self.agreement.form(now, members, stamp, without))
-        self._carry(now)
+        sent: list[OutgoingMessage] = list(self.agreement.form(now, members, stamp, without))
+        self._sync_log(now)
         return sent
 
     def copy(self) -> ModelMember:
@@ -105,14 +105,20 @@
         made = copy(self)
         made.agreement = self.agreement.copy()
         made.replicated_log = self.log.copy()
-        made.taught = dict(self.taught)
+        made.last_told = dict(self.last_told)
         return made
 
     def key(self) -> tuple[object, ...]:
         """Return all that decides what it will do."""
-        return self.agreement.key(), self.log.key(), self.log.leader, self.turns, frozenset(self.taught.items())
+        return (
+            self.agreement.key(),
+            self.log.key(),
+            self.log.leader,
+            self.forward_index,
+            frozenset(self.last_told.items()),
+        )
 
-    def _count(self, now: int) -> None:
+    def _record_part(self, now: int) -> None:
         """Keep no account of parts: control nodes have none."""
 
 
@@ -134,7 +140,7 @@
         made.admission = copy(self.admission)
         return made
 
-    def act(self, now: int, sent: list[Sent]) -> list[Any]:
+    def act(self, now: int, sent: list[OutgoingMessage]) -> list[Any]:
         """Go on after something that the member did."""
         return self._settle(now, sent)
 
@@ -246,7 +252,7 @@
 
     def node(self, member: Member, names: tuple[str, ...], now: int) -> ModelNode:
         """Return a control node that starts."""
-        places = {name: Place() for name in names}
+        places = {name: Placement() for name in names}
         return self.node_class(
             cluster=CLUSTER,
             region=REGION,
@@ -255,7 +261,7 @@
             incarnation=member.incarnation,
             nodes=places,
             gateways=frozenset(self.gateways),
-            pace=Pace(),
+            pace=DetectorConfig(),
             terms=self.leases,
             session_terms=self.sessions,
             chance=MIDDLE,
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -12,9 +12,9 @@
 from random import Random
 from typing import ClassVar, Literal
 
-from tansykeel.cluster.failure_detector import Pace
+from tansykeel.cluster.failure_detector import DetectorConfig
 from tansykeel.cluster.gossip import MemberState
-from tansykeel.cluster.member import ClusterMember, ClusterMessage, Place, Sent
+from tansykeel.cluster.member import ClusterMember, ClusterMessage, OutgoingMessage, Placement
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import CloseConnection, ConnectionId, NodeAction, SendToGateway, SendToNode, SessionTerms
@@ -64,9 +64,9 @@
         region_units: int,
         name: str,
         incarnation: int,
-        nodes: Mapping[str, Place],
+        nodes: Mapping[str, Placement],
         gateways: Container[str],
-        pace: Pace,
+        pace: DetectorConfig,
         terms: LeaseTerms,
         session_terms: SessionTerms,
         chance: Random,
@@ -165,12 +165,12 @@
             budget=self.budget.budget() if self.budget.lease_left(now) else 0,
             admitted=self.admission.admitted,
             rejected=self.admission.rejected + self.rejected,
-            nodes=tuple(self._node_status(name) for name in sorted(self.member.places)),
+            nodes=tuple(self._node_status(name) for name in sorted(self.member.placements)),
         )
 
     # Within: the region's nodes
 
-    def _settle(self, now: int, sent: list[Sent]) -> list[NodeAction]:
+    def _settle(self, now: int, sent: list[OutgoingMessage]) -> list[NodeAction]:
         """Follow what an event changed, and propose what the budget needs then."""
         self.budget.observe(now)
         if self.budget.begins_to_register(now):
@@ -182,7 +182,7 @@
         told = self._tell_commits(now)
         return [SendToNode(node, message) for node, message in [*sent, *proposed, *told]]
 
-    def _tell_commits(self, now: int) -> list[Sent]:
+    def _tell_commits(self, now: int) -> list[OutgoingMessage]:
         """Tell the others at once what was decided: a budget that grew should be of use before the next entry."""
         replicated_log = self.member.replicated_log
         if replicated_log is None or not replicated_log.leads or replicated_log.commit == self._told_commit:
@@ -204,7 +204,7 @@
         if name == self.name:
             return "alive"
         other = self.member.failure_detector.others[name]
-        return SEEMS[other.seems] if other.life else "unseen"
+        return SEEMS[other.state] if other.incarnation else "unseen"
 
     # Within: sessions
 
--- a/tansykeel/edge/cluster_connections.py
+++ b/tansykeel/edge/cluster_connections.py
@@ -11,7 +11,7 @@
 from tansykeel.cluster.gossip import MemberState
 from tansykeel.cluster.member import ClusterMember, ClusterMessage
 from tansykeel.cluster.membership import Member, View
-from tansykeel.cluster.messages import CODEC, number_of, urgency_of
+from tansykeel.cluster.messages import CODEC, urgency_of, view_number
 from tansykeel.cluster.send_queue import Urgency
 from tansykeel.edge.peers import Peers
 from tansykeel.protocol.frames import Fellow, FleetTold, Hello, ProtocolError, Watch
@@ -25,7 +25,7 @@
 
     def __init__(self, member: ClusterMember, peers: Peers, log: Any) -> None:
         self.member, self.peers, self.log = member, peers, log
-        self.member_states = dict.fromkeys(member.places, MemberState.ALIVE)  # by name, as logged last
+        self.member_states = dict.fromkeys(member.placements, MemberState.ALIVE)  # by name, as logged last
         self.view: View | None = None  # the last one that was logged
 
     def send(self, name: str, message: ClusterMessage) -> None:
@@ -43,7 +43,7 @@
             message = CODEC.decode(watch.what, watch.word)
         except ValueError as error:
             raise ProtocolError(f"WATCH: {error}") from None
-        place = self.member.places[hello.name]
+        place = self.member.placements[hello.name]
         return Member(hello.name, hello.boot, place.zone, place.weight), message
 
     def log_changes(self) -> None:
@@ -52,18 +52,18 @@
         if agreement.view is not None and agreement.view is not self.view:
             self._view_changed(self.view, agreement.view)
             self.view = agreement.view
-        for other in self.member.failure_detector.changes():
-            if other.seems is self.member_states[other.name]:
+        for other in self.member.failure_detector.take_changes():
+            if other.state is self.member_states[other.name]:
                 continue
-            self.member_states[other.name] = other.seems
+            self.member_states[other.name] = other.state
             self.log.info(
                 "seems",
                 other=other.name,
-                now=STATE_NAMES[other.seems],
+                now=STATE_NAMES[other.state],
                 suspected_by=sorted(other.suspected_by) or None,
                 view=agreement.number,
             )
-            if other.seems is MemberState.DEAD:
+            if other.state is MemberState.DEAD:
                 self.peers.by_name[other.name].drop("considered dead by the failure detector")
 
     def status(self, now: int, part: float) -> FleetTold:
@@ -80,7 +80,7 @@
             agreement.active,
             max(agreement.until() - now, 0) * MICROSECONDS_PER_TICK,
             part,
-            member.failure_detector.doubt,
+            member.failure_detector.health_score,
             tuple((m.name, m.incarnation) for m in view.members) if view else (),
             tuple(v.name for v in view.voters) if view else (),
             tuple(self._member_status(now, name) for name in member.failure_detector.others),
@@ -92,10 +92,10 @@
         other, peer = self.member.failure_detector.others[name], self.peers.by_name[name]
         return Fellow(
             name,
-            self.member.places[name].zone,
-            STATE_NAMES[other.seems] if other.life else "unseen",  # type: ignore[arg-type]
+            self.member.placements[name].zone,
+            STATE_NAMES[other.state] if other.incarnation else "unseen",  # type: ignore[arg-type]
             (now - other.since) * MICROSECONDS_PER_TICK,
-            other.life,
+            other.incarnation,
             tuple(sorted(other.suspected_by)),
             peer.state(),  # type: ignore[arg-type]
             len(peer.send_queue),
@@ -130,7 +130,7 @@
     return "agreed" if before and view.number == before.number + 1 else "missed some"
 
 
-def _is_older(watch: Watch, view_number: int) -> bool:
+def _is_older(watch: Watch, current_number: int) -> bool:
     """Whether a queued message is about a view older than this one; messages about no view never are."""
-    number = number_of(CODEC.decode(watch.what, watch.word))
-    return number is not None and number < view_number
+    number = view_number(CODEC.decode(watch.what, watch.word))
+    return number is not None and number < current_number
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from tansykeel.cluster.gossip import MemberState
-from tansykeel.cluster.member import ClusterMember, Sent
+from tansykeel.cluster.member import ClusterMember, OutgoingMessage
 from tansykeel.edge.clock import clock
 from tansykeel.edge.core import Core
 from tansykeel.interface import State as StoreState
@@ -56,7 +56,7 @@
         addresses: dict[str, str],
         served: dict[str, list[int]],
         send_to_gateway: Callable[[str, MaintenanceMessage], None],
-        send_to_cluster: Callable[[list[Sent]], None],
+        send_to_cluster: Callable[[list[OutgoingMessage]], None],
         log: Any,
     ) -> None:
         self.state, self.cluster_member, self.core, self.addresses, self.served = (
@@ -152,7 +152,7 @@
 
     def _places(self) -> dict[str, Place]:
         """Return all gateways of the settings and all stores of the store list, by name."""
-        gateways = {name: Place(name, "gateway", place.zone) for name, place in self.cluster_member.places.items()}
+        gateways = {name: Place(name, "gateway", place.zone) for name, place in self.cluster_member.placements.items()}
         stores = {
             str(store.handle): Place(str(store.handle), "store", store.zone, store.shard)
             for store in self.core.stores.values()
@@ -167,8 +167,8 @@
         """
         now, cold = self.core.runner.now, self.core.facts.cold
         others = self.cluster_member.failure_detector.others.values()
-        gone = {other.name: "died" for other in others if other.seems is MemberState.DEAD}
-        alive = [other.name for other in others if other.seems is MemberState.ALIVE and other.life]
+        gone = {other.name: "died" for other in others if other.state is MemberState.DEAD}
+        alive = [other.name for other in others if other.state is MemberState.ALIVE and other.incarnation]
         for name, store in self.core.stores.items():
             if store.state is not StoreState.READY:
                 gone[name] = "drains" if store.state is StoreState.DRAINING else "is gone"
@@ -207,9 +207,9 @@
         newer = {name for name in release.went if name not in release.returned}
         sides: tuple[dict[tuple[str, int], Seen], dict[tuple[str, int], Seen]] = ({}, {})
         for name, by_class in by_gateway.items():
-            if name in self.state.kept.out or name not in self.cluster_member.places:
+            if name in self.state.kept.out or name not in self.cluster_member.placements:
                 continue
-            side, zone = sides[name not in newer], self.cluster_member.places[name].zone
+            side, zone = sides[name not in newer], self.cluster_member.placements[name].zone
             for category, counts in by_class.items():
                 sum_so_far = side.get((category, zone), Seen(0, 0))
                 side[category, zone] = Seen(
--- a/tansykeel/edge/peers.py
+++ b/tansykeel/edge/peers.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from tansykeel.cluster.send_queue import Bound, SendQueue, Urgency
+from tansykeel.cluster.send_queue import QueueLimit, SendQueue, Urgency
 from tansykeel.edge.clock import clock
 from tansykeel.protocol.codec import Codec, Event, Frame
 from tansykeel.protocol.frames import Fields, Hello
@@ -20,9 +20,9 @@
 
 TICKS_PER_SECOND = 10_000  # a tick of the clock is a tenth of a millisecond
 BOUNDS = {
-    Urgency.LIVENESS: Bound(64, TICKS_PER_SECOND // 2),
-    Urgency.PROMISE: Bound(64, 2 * TICKS_PER_SECOND),
-    Urgency.HINT: Bound(64, TICKS_PER_SECOND),
+    Urgency.LIVENESS: QueueLimit(64, TICKS_PER_SECOND // 2),
+    Urgency.PROMISE: QueueLimit(64, 2 * TICKS_PER_SECOND),
+    Urgency.HINT: QueueLimit(64, TICKS_PER_SECOND),
 }
 # From this on a connection gets no further records: they stay in the send queue, where urgent ones overtake the others
 MAX_UNSENT_BYTES = 16 << 10
--- a/tansykeel/emulator/cluster_simulation.py
+++ b/tansykeel/emulator/cluster_simulation.py
@@ -11,9 +11,9 @@
 
 import numpy
 
-from tansykeel.cluster.failure_detector import SECOND, Pace
+from tansykeel.cluster.failure_detector import SECOND, DetectorConfig
 from tansykeel.cluster.gossip import MemberState
-from tansykeel.cluster.member import ClusterMember, ClusterMessage, Place, Sent
+from tansykeel.cluster.member import ClusterMember, ClusterMessage, OutgoingMessage, Placement
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.messages import CODEC
 from tansykeel.cluster.view_agreement import LeaseTerms
@@ -26,7 +26,7 @@
 SAMPLE = 500_000  # microseconds between looks at the sum of all parts
 HEADER = 28  # bytes that a datagram has beside what is told
 MOST_EVENTS = 50_000_000
-PACE, TERMS = Pace(), LeaseTerms(lease=4 * SECOND)
+PACE, TERMS = DetectorConfig(), LeaseTerms(lease=4 * SECOND)
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 
 
 class Watchers:
-    def __init__(self, trial: Trial, seed: int, pace: Pace = PACE, terms: LeaseTerms = TERMS) -> None:
+    def __init__(self, trial: Trial, seed: int, pace: DetectorConfig = PACE, terms: LeaseTerms = TERMS) -> None:
         self.trial, self.engine, self.chance = trial, Engine(), stream(seed, WATCHING)
         self.names = [f"edge-{n}" for n in range(trial.gateways)]
         self.bytes = 0  # in the second half, when the news of the start have been told
@@ -87,7 +87,7 @@
         self.spent = 0.0  # CPU seconds in the cluster members, in the second half
         self.believed = dict.fromkeys(self.names, Fraction(0))  # what each counted when it was last looked at
         self.seed, self.pace, self.terms = seed, pace, terms
-        self.places = {name: Place(n % trial.zones) for n, name in enumerate(self.names)}
+        self.places = {name: Placement(n % trial.zones) for n, name in enumerate(self.names)}
         self.all = {name: self._make_member(name) for name in self.names}
 
     def now(self) -> int:
@@ -175,7 +175,7 @@
         if self.now() >= self.all[name].due():
             self._step(name, lambda: self.all[name].tick(self.now(), self.wall_ms()))
 
-    def _step(self, name: str, step: Callable[[], list[Sent]]) -> None:
+    def _step(self, name: str, step: Callable[[], list[OutgoingMessage]]) -> None:
         """What a gateway does, the time that it takes, and what comes of it."""
         begun = process_time()
         sent = step()
@@ -188,16 +188,16 @@
         """What this gateway has come to believe of others since it was looked at."""
         believes, counted = self.seen[name], self.engine.now >= self.first
         self._audit(name)
-        for other in self.all[name].failure_detector.changes():
-            if believes.get(other.name) is other.seems:
+        for other in self.all[name].failure_detector.take_changes():
+            if believes.get(other.name) is other.state:
                 continue
-            believes[other.name] = other.seems
+            believes[other.name] = other.state
             if other.name in self.died:
-                if other.seems is MemberState.DEAD:
+                if other.state is MemberState.DEAD:
                     self.known[other.name].setdefault(name, self.now())
-            elif counted and other.name not in self.stalls and other.seems is not MemberState.ALIVE:
-                (self.suspicions if other.seems is MemberState.SUSPECT else self.deaths).add(
-                    (other.name, other.denials)
+            elif counted and other.name not in self.stalls and other.state is not MemberState.ALIVE:
+                (self.suspicions if other.state is MemberState.SUSPECT else self.deaths).add(
+                    (other.name, other.refutations)
                 )
 
     def _audit(self, name: str) -> None:
--- a/tansykeel/emulator/control_trial.py
+++ b/tansykeel/emulator/control_trial.py
@@ -6,8 +6,8 @@
 from enum import StrEnum
 from random import Random
 
-from tansykeel.cluster.failure_detector import Pace
-from tansykeel.cluster.member import Place
+from tansykeel.cluster.failure_detector import DetectorConfig
+from tansykeel.cluster.member import Placement
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import WHOLE_UNITS, SessionTerms
 
@@ -89,9 +89,9 @@
         return LeaseTerms(self.terms.lease, self.terms.drift, NODES_PER_REGION)
 
     @property
-    def pace(self) -> Pace:
+    def pace(self) -> DetectorConfig:
         """Return how control nodes look at each other, as `settings.control` makes it of a ping of 300 ms."""
-        return Pace(period=PING, answer=PING // 2, steady=2 * PING, forgives=60 * PING)
+        return DetectorConfig(period=PING, ack_timeout=PING // 2, stable_after=2 * PING, flap_window=60 * PING)
 
     def regions(self) -> tuple[str, ...]:
         """Return the names of the regions."""
@@ -118,9 +118,9 @@
             for number in range(NODES_PER_REGION)
         ]
 
-    def nodes_of(self, region: str) -> dict[str, Place]:
+    def nodes_of(self, region: str) -> dict[str, Placement]:
         """Return a region's control nodes with their zones, as the cores take them."""
-        return {node.name: Place(node.zone) for node in self.node_places() if node.region == region}
+        return {node.name: Placement(node.zone) for node in self.node_places() if node.region == region}
 
     def chance(self, purpose: str) -> Random:
         """Return a stream of chance of its own for each purpose."""
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -10,7 +10,7 @@
 
 from tansykeel.audit.records import Counted, Listed, Said
 from tansykeel.cluster.member import ClusterMember, ClusterMessage
-from tansykeel.cluster.member import Sent as FleetSent
+from tansykeel.cluster.member import OutgoingMessage as FleetSent
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.messages import CODEC
 from tansykeel.edge.core import Core
@@ -60,7 +60,7 @@
             self.native,
             known_of(scene.settings),
             scene.decide,
-            self.fellow.cluster_member.parts if self.fellow else None,
+            self.fellow.cluster_member.allotments if self.fellow else None,
         )
         if self.asked or scene.day.fleet.list_mode == "push":
             self.ask_list()
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -7,10 +7,10 @@
 from random import Random
 
 from tansykeel.cluster.failure_detector import SECOND
-from tansykeel.cluster.failure_detector import Pace as Ping
+from tansykeel.cluster.failure_detector import DetectorConfig as Ping
 from tansykeel.cluster.gossip import MemberState
 from tansykeel.cluster.member import ClusterMember, ClusterMessage
-from tansykeel.cluster.member import Place as Where
+from tansykeel.cluster.member import Placement as Where
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.view_agreement import LeaseTerms as Leases
 from tansykeel.emulator.engine import START, Engine, NoEnd
@@ -184,8 +184,10 @@
         assert cluster_member.replicated_log is not None
         controller.leads(self.now(), cluster_member.replicated_log.leads)
         others = cluster_member.failure_detector.others
-        gone = {other.name: "died" for other in others.values() if other.seems is MemberState.DEAD}
-        alive = [other.name for other in others.values() if other.seems is MemberState.ALIVE and other.life] + [name]
+        gone = {other.name: "died" for other in others.values() if other.state is MemberState.DEAD}
+        alive = [other.name for other in others.values() if other.state is MemberState.ALIVE and other.incarnation] + [
+            name
+        ]
         stores = [one for one, at in self.machines.items() if at.place.kind == "store"]
         gone |= {
             one: "died"
--- a/tansykeel/settings/control.py
+++ b/tansykeel/settings/control.py
@@ -8,8 +8,8 @@
 import math
 from random import Random
 
-from tansykeel.cluster.failure_detector import Pace
-from tansykeel.cluster.member import Place
+from tansykeel.cluster.failure_detector import DetectorConfig
+from tansykeel.cluster.member import Placement
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import WHOLE_UNITS, SessionTerms
 from tansykeel.control.node import ControlNode
@@ -62,11 +62,13 @@
     return LeaseTerms(int(control.lease_ms * TENTHS_IN_MS), control.drift)
 
 
-def pace_of(settings: Settings) -> Pace:
+def pace_of(settings: Settings) -> DetectorConfig:
     """Return how the control nodes of a region look at each other. Raises ControlSettingsError."""
     period = int(control_of(settings).ping_ms * TENTHS_IN_MS)
     answer = max(period // ANSWER_PART, 1)
-    return Pace(period=period, answer=answer, steady=STEADY_PERIODS * period, forgives=FORGIVEN_PERIODS * period)
+    return DetectorConfig(
+        period=period, ack_timeout=answer, stable_after=STEADY_PERIODS * period, flap_window=FORGIVEN_PERIODS * period
+    )
 
 
 def region_units(settings: Settings, region: str) -> int:
@@ -88,9 +90,9 @@
     return ()
 
 
-def places_of(settings: Settings, region: str) -> dict[str, Place]:
+def places_of(settings: Settings, region: str) -> dict[str, Placement]:
     """Return the control nodes of a region with their zones, by name."""
-    return {node.name: Place(node.zone) for node in settings.nodes_of(region)}
+    return {node.name: Placement(node.zone) for node in settings.nodes_of(region)}
 
 
 def control_node_of(settings: Settings, number: int, incarnation: int, chance: Random, now: int) -> ControlNode:
--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -106,7 +106,7 @@
                 wrong.link.send(0, record)
             assert says in await wrong.error()
             others = program.agent.node.member.failure_detector.others
-            assert others["n1"].life == 0, "a message of it was taken"
+            assert others["n1"].incarnation == 0, "a message of it was taken"
 
     play(go())
 
@@ -188,7 +188,7 @@
     async def go():
         async with one_node(tmp_path, nodes=3) as (_, address):
             assert (await ask(address, 5)).number == 0
-            with pytest.raises(NotTold, match="'n7' is no other gateway of the settings"):
+            with pytest.raises(NotTold, match="'n7' is no other member in the settings"):
                 await go_without(address, ("n7",), 5)
             await go_without(address, ("n1", "n2"), 5)
             while not (told := await ask(address, 5)).leased:
--- a/tests/edge/test_cluster_agent.py
+++ b/tests/edge/test_cluster_agent.py
@@ -108,7 +108,7 @@
                 await gateways.start(number)
             await gateways.until(
                 lambda cluster_agent: (
-                    cluster_agent.cluster_member.failure_detector.others["edge-4"].seems.name == "DEAD"
+                    cluster_agent.cluster_member.failure_detector.others["edge-4"].state.name == "DEAD"
                 )
             )
             status = await ask(gateways.addresses[0], 5)
@@ -156,12 +156,12 @@
                 await gateways.start(number)
             await gateways.until(
                 lambda cluster_agent: (
-                    cluster_agent.cluster_member.failure_detector.others["edge-4"].seems.name == "DEAD"
+                    cluster_agent.cluster_member.failure_detector.others["edge-4"].state.name == "DEAD"
                 )
             )
             await gateways.until(
                 lambda cluster_agent: all(
-                    cluster_agent.cluster_member.failure_detector.others[f"edge-{n}"].life
+                    cluster_agent.cluster_member.failure_detector.others[f"edge-{n}"].incarnation
                     for n in range(4)
                     if f"edge-{n}" != cluster_agent.names[cluster_agent.peers.number]
                 )
