--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -22,7 +22,7 @@
 from tansykeel.cluster.membership import Member, View, majority
 
 Ballot = tuple[int, int, str]  # a ballot: the view's number, round, name of the leader
-ZERO: Ballot = (0, 0, "")
+ZERO_BALLOT: Ballot = (0, 0, "")
 MOST_KEPT = 128  # entries that are applied and kept, for voters that lag; then a snapshot takes their place
 MOST_OPEN = 64  # entries that wait for a majority; more are not taken
 MOST_ENTRY = 16 << 10  # bytes
@@ -124,7 +124,7 @@
     def __init__(self, me: Member, machine: StateMachine, lease: int, now: int) -> None:
         self.me, self.machine, self.lease = me, machine, lease
         self.view: View | None = None
-        self.promised = self.accepted = ZERO
+        self.promised = self.accepted = ZERO_BALLOT
         self.base, self.snapshot, self.entries = 0, machine.snapshot(), list[bytes]()
         self.commit = self.applied = 0
         self.heard_at = now  # of a leader under this view
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tansykeel.cluster.model_checker import Bounds, search, walks
-from tansykeel.cluster.replicated_log import ZERO, InstallSnapshot, LogAccept, LogPrepare, Propose, ReplicatedLog
+from tansykeel.cluster.replicated_log import ZERO_BALLOT, InstallSnapshot, LogAccept, LogPrepare, Propose, ReplicatedLog
 from tansykeel.control.budget_agent import BudgetAgent
 from tansykeel.control.budget_state import BudgetState
 from tansykeel.control.entries import BudgetReleased, NodeDemand, decode_entry
@@ -69,7 +69,7 @@
 
     def heard(self, now, sender, word):
         if isinstance(word, LogPrepare | InstallSnapshot | LogAccept) and self.leading is None:
-            self.promised = ZERO
+            self.promised = ZERO_BALLOT
         return super().heard(now, sender, word)
 
 
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -7,7 +7,7 @@
 
 from dataclasses import replace
 
-from tansykeel.cluster.replicated_log import ZERO, LogMessage, ReplicatedLog
+from tansykeel.cluster.replicated_log import ZERO_BALLOT, LogMessage, ReplicatedLog
 from tansykeel.control.actions import WHOLE_UNITS, CountedLease
 from tansykeel.control.budget_agent import BudgetAgent
 from tansykeel.control.held_lease import HeldLease
@@ -44,7 +44,7 @@
     """Leads by its own promise alone, and its followers forget what they promised."""
 
     def heard(self, now, sender, word: LogMessage):
-        self.promised = ZERO
+        self.promised = ZERO_BALLOT
         return super().heard(now, sender, word)
 
     def tick(self, now: int, turn: int):
