--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -181,7 +181,7 @@
         if agreement.view is not None and agreement.view is not book.view:
             book.follow(now, agreement.view)
         if agreement.formed is not None:
-            book.wedge(agreement.formed.number)
+            book.seal(agreement.formed.number)
         agreement.carries = book.carried
         agreement.stuck = book.stuck
 
--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -220,7 +220,7 @@
         sent = self._gather()
         return sent + self._held(self.me, self._hold(ballot))
 
-    def wedge(self, number: int) -> None:
+    def seal(self, number: int) -> None:
         """It took up a formed view: guards against an older view's leader that decides while all form this one."""
         self._promise(max(self.promised, (number, 0, "")))
 
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -148,7 +148,7 @@
                 replicated_log.follow(self.clock(name), one.view)
             if one.formed and replicated_log.promised < (one.formed.number, 0, ""):
                 replicated_log = self._own(name)
-                replicated_log.wedge(one.formed.number)
+                replicated_log.seal(one.formed.number)
             if one.carries is not replicated_log.carried:
                 self.alive[name] = one = one.copy()
                 one.carries = replicated_log.carried
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -141,7 +141,7 @@
     log = ReplicatedLog(fleet.alive["a"].me, BudgetState(), lease=100, now=fleet.now)
     log.follow(fleet.now, view)
     assert not log.stuck and log.lead(fleet.now)
-    log.wedge(view.number + 500)
+    log.seal(view.number + 500)
     assert log.stuck and log.lead(fleet.now) == []
     log.follow(fleet.now, View(view.number + 501, view.members, view.voters))
     assert not log.stuck and log.lead(fleet.now)
--- a/tests/emulator/test_control_simulation.py
+++ b/tests/emulator/test_control_simulation.py
@@ -51,7 +51,7 @@
 def test_a_log_that_one_node_promised_to_a_view_that_never_came_is_led_again():
     simulation = ControlSimulation(replace(QUIET, seconds=60, settle_s=15))
     struck = simulation.nodes["control-0-0"]
-    simulation.engine.after(20_000_000, lambda: struck.node.member.replicated_log.wedge(simulation.engine.now // 1_000))
+    simulation.engine.after(20_000_000, lambda: struck.node.member.replicated_log.seal(simulation.engine.now // 1_000))
     seen = simulation.play()
     assert seen.findings == () and seen.over == 0
     assert not struck.node.member.replicated_log.stuck
