--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -183,7 +183,7 @@
         if agreement.formed is not None:
             book.seal(agreement.formed.number)
         agreement.carries = book.carried
-        agreement.stuck = book.stuck
+        agreement.sealed = book.sealed
 
     def _lead(self, now: int) -> list[Sent]:
         view = self.agreement.view
--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -144,7 +144,7 @@
         return self.view is not None and self.accepted[0] == self.view.number
 
     @property
-    def stuck(self) -> bool:
+    def sealed(self) -> bool:
         """Whether it promised itself to a later view that was to be formed: nobody leads it under the present one.
 
         That view may never come about, for a member of it may die first.
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -97,7 +97,7 @@
         self.formed: View | None = None  # the formed view with the highest number that was taken up
         self.proposal: Proposal | None = None
         self.carries = True  # whatever is carried from view to view is here: before, no next one is voted for
-        self.stuck = False  # it can't be carried on in the present view any more: only a formed view helps
+        self.sealed = False  # it can't be carried on in the present view any more: only a formed view helps
         self.forming: tuple[Form, set[Member]] | None = None
 
     # What it may count on
@@ -127,7 +127,7 @@
 
         Guards against a formed view that never counts, for a member of it died before it ended its grants.
         """
-        return self.active and self.leased(now) and not self.stuck
+        return self.active and self.leased(now) and not self.sealed
 
     def part(self, now: int) -> Fraction:
         """Of any whole, what this gateway may count as its own now: at least its even part of the safe ones."""
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -130,7 +130,7 @@
     members = (*one.view.members[:2], Member("c", 2))
     form = Form(View(one.number + 500, members, members))
     assert one.works(now) and one.heard(now, members[2], form) == []
-    one.stuck = True
+    one.sealed = True
     assert one.active and one.leased(now) and not one.works(now)
     assert one.heard(now, members[2], form) == [("c", Formed(form.view))]
 
@@ -140,11 +140,11 @@
     view = fleet.alive["a"].view
     log = ReplicatedLog(fleet.alive["a"].me, BudgetState(), lease=100, now=fleet.now)
     log.follow(fleet.now, view)
-    assert not log.stuck and log.lead(fleet.now)
+    assert not log.sealed and log.lead(fleet.now)
     log.seal(view.number + 500)
-    assert log.stuck and log.lead(fleet.now) == []
+    assert log.sealed and log.lead(fleet.now) == []
     log.follow(fleet.now, View(view.number + 501, view.members, view.voters))
-    assert not log.stuck and log.lead(fleet.now)
+    assert not log.sealed and log.lead(fleet.now)
 
 
 def test_a_formed_view_whose_member_died_before_it_counted_is_formed_anew():
--- a/tests/emulator/test_control_simulation.py
+++ b/tests/emulator/test_control_simulation.py
@@ -54,7 +54,7 @@
     simulation.engine.after(20_000_000, lambda: struck.node.member.replicated_log.seal(simulation.engine.now // 1_000))
     seen = simulation.play()
     assert seen.findings == () and seen.over == 0
-    assert not struck.node.member.replicated_log.stuck
+    assert not struck.node.member.replicated_log.sealed
     assert any(node.leads for node in simulation.nodes.values() if node.region == struck.region)
     assert simulation.counted.by_region[struck.region] > 0.8 * simulation.counted.region_units[struck.region]
 
