--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -224,7 +224,7 @@
         """It took up a formed view: guards against an older view's leader that decides while all form this one."""
         self._promise(max(self.promised, (number, 0, "")))
 
-    def go_on(self, now: int) -> list[Sent]:
+    def recover_without_electors(self, now: int) -> list[Sent]:
         """An operator's word that what the view before knew is lost: a majority of this view's voters is enough."""
         self.by_word = True
         return self._try(now) if self.leading else self.lead(now)
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -90,7 +90,7 @@
         match word:
             case Offered(entry) if isinstance(entry, Recover) and not book.carried and not book.leads:
                 # The voters of the view before are gone: nobody leads until an operator says so.
-                self.sent(list(book.go_on(now)))
+                self.sent(list(book.recover_without_electors(now)))
                 reply(Taken(False, "this view goes on with what it knows; legal: the same again in a few seconds"))
             case _ if not book.leads:
                 reply(Elsewhere(book.leader, self.addresses.get(book.leader, "")))
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -150,6 +150,6 @@
     x = books["x"]
     hear(x.lead(1), new[0])
     assert not x.leads  # nobody who decided the view answers: something may have been decided that is not known here
-    hear(x.go_on(1), new[0])
+    hear(x.recover_without_electors(1), new[0])
     assert x.leads and not any(book.machine.kept.known for book in books.values() if book.commit)
     assert x.commit == 1 and unpacked(x.entries[0]) == Lost(2)
