--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -139,7 +139,7 @@
         return self.base + len(self.entries)
 
     @property
-    def carried(self) -> bool:
+    def state_transferred(self) -> bool:
         """Whether it has taken over the ledger under the present view."""
         return self.view is not None and self.accepted[0] == self.view.number
 
@@ -201,7 +201,7 @@
         if self.view is None or self.me not in self.view.voters:
             return []
         if self.leading is None:
-            first = not self.carried and turn == 0  # a new view: its first voter need not wait
+            first = not self.state_transferred and turn == 0  # a new view: its first voter need not wait
             if not first and now - self.heard_at < self.lease * PATIENCE * (1 + turn):
                 return []
             return self.lead(now)
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -88,7 +88,7 @@
         now, book = clock(), self.cluster_member.replicated_log
         assert book is not None
         match word:
-            case Offered(entry) if isinstance(entry, Recover) and not book.carried and not book.leads:
+            case Offered(entry) if isinstance(entry, Recover) and not book.state_transferred and not book.leads:
                 # The voters of the view before are gone: nobody leads until an operator says so.
                 self.sent(list(book.recover_without_electors(now)))
                 reply(Taken(False, "this view goes on with what it knows; legal: the same again in a few seconds"))
