--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -182,7 +182,7 @@
             book.follow(now, agreement.view)
         if agreement.formed is not None:
             book.seal(agreement.formed.number)
-        agreement.carries = book.state_transferred
+        agreement.state_transferred = book.state_transferred
         agreement.sealed = book.sealed
 
     def _lead(self, now: int) -> list[Sent]:
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -96,7 +96,7 @@
         self.next: View | None = None
         self.formed: View | None = None  # the formed view with the highest number that was taken up
         self.proposal: Proposal | None = None
-        self.carries = True  # whatever is carried from view to view is here: before, no next one is voted for
+        self.state_transferred = True  # whatever is carried from view to view is here: before, no next one is voted for
         self.sealed = False  # it can't be carried on in the present view any more: only a formed view helps
         self.forming: tuple[Form, set[Member]] | None = None
 
@@ -310,7 +310,7 @@
     def _vote(self, message: Prepare | Accept) -> Promise | Accepted | None:
         # Guards against two steps at once: leases on the view before the present one might still count.
         if (
-            not (self.active and self.carries)
+            not (self.active and self.state_transferred)
             or message.ballot < self.promised
             or self.view is None
             or self.me not in self.view.voters
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -149,9 +149,9 @@
             if one.formed and replicated_log.promised < (one.formed.number, 0, ""):
                 replicated_log = self._own(name)
                 replicated_log.seal(one.formed.number)
-            if one.carries is not replicated_log.state_transferred:
+            if one.state_transferred is not replicated_log.state_transferred:
                 self.alive[name] = one = one.copy()
-                one.carries = replicated_log.state_transferred
+                one.state_transferred = replicated_log.state_transferred
 
     def _state(self, replicated_log: ReplicatedLog) -> State:
         return cast(State, replicated_log.machine)
