--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -156,7 +156,7 @@
         """Whether it leads, and a majority has taken its log over."""
         return self.leading is not None and self.leading.ready and self._settled() >= self.base
 
-    def confirmed(self, now: int) -> int:
+    def leader_confirmed_at(self, now: int) -> int:
         """Up to which moment of its own clock it surely led: a majority answered what it said then, and so had
         promised nothing higher. An order that was asked for later is not given yet."""
         if not self.leads or self.view is None or self.leading is None:
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -126,7 +126,7 @@
         book = self.cluster_member.replicated_log
         assert book is not None
         out = self.state.kept.out.get(name)
-        if (order := self.controller.answer(now, name, book.confirmed(now))) is not None:
+        if (order := self.controller.answer(now, name, book.leader_confirmed_at(now))) is not None:
             reply(order)
         elif out is not None and book.leads and now - since < self.controller.pace.patience:
             return  # until a majority has confirmed that this gateway leads, or it is too late
