--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -238,7 +238,7 @@
         self._advance()  # alone it is a majority
         return True, sent
 
-    def announce(self, now: int) -> list[Sent]:
+    def broadcast_commit(self, now: int) -> list[Sent]:
         """Tell the voters how far entries are decided, without a wait for the next entry or tick."""
         return self._catch_all(now) if self.leads else []
 
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -188,7 +188,7 @@
         if replicated_log is None or not replicated_log.leads or replicated_log.commit == self._told_commit:
             return []
         self._told_commit = replicated_log.commit
-        return list(replicated_log.announce(now))
+        return list(replicated_log.broadcast_commit(now))
 
     def _node_status(self, name: str) -> NodeBudgetStatus:
         record = self.state.records.get(name)
