--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -179,7 +179,7 @@
         if book is None:
             return
         if agreement.view is not None and agreement.view is not book.view:
-            book.follow(now, agreement.view)
+            book.install_view(now, agreement.view)
         if agreement.formed is not None:
             book.seal(agreement.formed.number)
         agreement.state_transferred = book.state_transferred
--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -192,7 +192,7 @@
 
     # Steps that this gateway takes
 
-    def follow(self, now: int, view: View) -> None:
+    def install_view(self, now: int, view: View) -> None:
         """Another view was agreed on."""
         self.view, self.leading, self.leader, self.heard_at, self.by_word = view, None, "", now, False
 
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -145,7 +145,7 @@
                 and (replicated_log.view is None or one.view.number > replicated_log.view.number)
             ):
                 replicated_log = self._own(name)
-                replicated_log.follow(self.clock(name), one.view)
+                replicated_log.install_view(self.clock(name), one.view)
             if one.formed and replicated_log.promised < (one.formed.number, 0, ""):
                 replicated_log = self._own(name)
                 replicated_log.seal(one.formed.number)
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -146,7 +146,7 @@
                 hear(books[to].heard(1, sender, word), books[to].me)
 
     for book in books.values():
-        book.follow(0, View(2, new, new, old))
+        book.install_view(0, View(2, new, new, old))
     x = books["x"]
     hear(x.lead(1), new[0])
     assert not x.leads  # nobody who decided the view answers: something may have been decided that is not known here
