--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -204,11 +204,11 @@
             first = not self.state_transferred and turn == 0  # a new view: its first voter need not wait
             if not first and now - self.heard_at < self.lease * PATIENCE * (1 + turn):
                 return []
-            return self.lead(now)
+            return self.start_election(now)
         self.heard_at = now
         return self._catch_all(now) if self.leading.ready else self._gather()
 
-    def lead(self, now: int) -> list[Sent]:
+    def start_election(self, now: int) -> list[Sent]:
         """Try to lead: ask the voters of this view and of the one before for what they hold."""
         if self.view is None or self.me not in self.view.voters:
             return []
@@ -227,7 +227,7 @@
     def recover_without_electors(self, now: int) -> list[Sent]:
         """An operator's word that what the view before knew is lost: a majority of this view's voters is enough."""
         self.by_word = True
-        return self._try(now) if self.leading else self.lead(now)
+        return self._try(now) if self.leading else self.start_election(now)
 
     def offer(self, now: int, entry: bytes) -> tuple[bool, list[Sent]]:
         """Add an entry, where this gateway leads and has room for it."""
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -86,7 +86,7 @@
 
     def lead(self, now: int) -> list[Sent]:
         """Try to lead the log."""
-        return list(self.log.lead(now))
+        return list(self.log.start_election(now))
 
     def propose(self, now: int, members: Iterable[Member]) -> list[Sent]:
         """Propose the members of the next view."""
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -182,7 +182,7 @@
         now, replicated_log = self.clock(name), self._own(name)
         if kind == "leads":
             self.used["lead"] += 1
-            self._say(name, replicated_log.lead(now))
+            self._say(name, replicated_log.start_election(now))
             return True
         if replicated_log.leading is None or not replicated_log.leading.ready:
             return False
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -140,11 +140,11 @@
     view = fleet.alive["a"].view
     log = ReplicatedLog(fleet.alive["a"].me, BudgetState(), lease=100, now=fleet.now)
     log.install_view(fleet.now, view)
-    assert not log.sealed and log.lead(fleet.now)
+    assert not log.sealed and log.start_election(fleet.now)
     log.seal(view.number + 500)
-    assert log.sealed and log.lead(fleet.now) == []
+    assert log.sealed and log.start_election(fleet.now) == []
     log.install_view(fleet.now, View(view.number + 501, view.members, view.voters))
-    assert not log.sealed and log.lead(fleet.now)
+    assert not log.sealed and log.start_election(fleet.now)
 
 
 def test_a_formed_view_whose_member_died_before_it_counted_is_formed_anew():
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -148,7 +148,7 @@
     for book in books.values():
         book.install_view(0, View(2, new, new, old))
     x = books["x"]
-    hear(x.lead(1), new[0])
+    hear(x.start_election(1), new[0])
     assert not x.leads  # nobody who decided the view answers: something may have been decided that is not known here
     hear(x.recover_without_electors(1), new[0])
     assert x.leads and not any(book.machine.kept.known for book in books.values() if book.commit)
