--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -100,7 +100,7 @@
         """An entry for the ledger: added here where this gateway leads it, else passed on. False: nobody to take it."""
         if self.replicated_log is None:
             return False, []
-        added, sent = self.replicated_log.offer(now, entry)
+        added, sent = self.replicated_log.append_entry(now, entry)
         return (True, list(sent)) if added else self._pass_on(replicated_log.Propose(entry))
 
     def leave(self, now: int) -> list[Sent]:
@@ -155,7 +155,7 @@
         if self.replicated_log is None:
             return []
         if isinstance(word, replicated_log.Propose):
-            added, sent = self.replicated_log.offer(now, word.entry)
+            added, sent = self.replicated_log.append_entry(now, word.entry)
             return list(sent) if added else self._pass_on(word)[1]
         return list(self.replicated_log.heard(now, sender, word))
 
--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -229,7 +229,7 @@
         self.by_word = True
         return self._try(now) if self.leading else self.start_election(now)
 
-    def offer(self, now: int, entry: bytes) -> tuple[bool, list[Sent]]:
+    def append_entry(self, now: int, entry: bytes) -> tuple[bool, list[Sent]]:
         """Add an entry, where this gateway leads and has room for it."""
         if not self.leads or self.last - self.commit >= MOST_OPEN or len(entry) > MOST_ENTRY or self.view is None:
             return False, []
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -213,7 +213,7 @@
         return True
 
     def _offer(self, name: str, replicated_log: ReplicatedLog, entry: Leave | Back | Recover) -> None:
-        self._say(name, replicated_log.offer(self.clock(name), packed(entry))[1])
+        self._say(name, replicated_log.append_entry(self.clock(name), packed(entry))[1])
 
     def _of_subject(self, kind: object, what: object) -> None:
         if kind == "returns":
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -109,7 +109,7 @@
     # What stands in for an operator's word after a loss, or for x seen back by b alone: x is no longer out.
     book = fleet._own("b")
     book.machine.kept.out.clear()
-    fleet._say("b", book.offer(0, packed(Leave("y", 1, "test", "b")))[1])
+    fleet._say("b", book.append_entry(0, packed(Leave("y", 1, "test", "b")))[1])
     fleet = all_hear(fleet, *cut)
     ordered = fleet.after(("orders", "b", "y"))
     fleet = ordered.after(("gets", next(iter(ordered.orders))))
