--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -157,7 +157,7 @@
         if isinstance(word, replicated_log.Propose):
             added, sent = self.replicated_log.append_entry(now, word.entry)
             return list(sent) if added else self._pass_on(word)[1]
-        return list(self.replicated_log.heard(now, sender, word))
+        return list(self.replicated_log.handle_message(now, sender, word))
 
     def _pass_on(self, offer: replicated_log.Propose) -> tuple[bool, list[Sent]]:
         """To whoever leads as far as is known here, else to a voter, who may know."""
--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -244,7 +244,7 @@
 
     # What comes in
 
-    def heard(self, now: int, sender: Member, word: LogMessage) -> list[Sent]:
+    def handle_message(self, now: int, sender: Member, word: LogMessage) -> list[Sent]:
         if isinstance(word, LogPrepare | InstallSnapshot | LogAccept) and word.ballot < self.promised:
             return [(sender.name, LogRejected(self.promised))]
         match word:
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -107,7 +107,7 @@
                 return False
             to, sender, word = str(what[0]), cast(Member, what[1]), what[2]
             replicated_log = self._own(to)
-            self._say(to, replicated_log.heard(self.clock(to), sender, word))
+            self._say(to, replicated_log.handle_message(self.clock(to), sender, word))
         else:
             if not super()._happens(event):
                 return False
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -67,10 +67,10 @@
 class Forgetful(ReplicatedLog):
     """A follower forgets what it promised, so two leaders may decide."""
 
-    def heard(self, now, sender, word):
+    def handle_message(self, now, sender, word):
         if isinstance(word, LogPrepare | InstallSnapshot | LogAccept) and self.leading is None:
             self.promised = ZERO_BALLOT
-        return super().heard(now, sender, word)
+        return super().handle_message(now, sender, word)
 
 
 def node_with(budget=BudgetAgent, state=BudgetState, log=ReplicatedLog):
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -143,7 +143,7 @@
     def hear(sent, sender):
         for to, word in sent:
             if to in books:
-                hear(books[to].heard(1, sender, word), books[to].me)
+                hear(books[to].handle_message(1, sender, word), books[to].me)
 
     for book in books.values():
         book.install_view(0, View(2, new, new, old))
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -43,9 +43,9 @@
 class LeadsAlone(ReplicatedLog):
     """Leads by its own promise alone, and its followers forget what they promised."""
 
-    def heard(self, now, sender, word: LogMessage):
+    def handle_message(self, now, sender, word: LogMessage):
         self.promised = ZERO_BALLOT
-        return super().heard(now, sender, word)
+        return super().handle_message(now, sender, word)
 
     def tick(self, now: int, turn: int):
         sent = super().tick(now, 0)
