--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -149,7 +149,7 @@
             return list(self.failure_detector.heard(now, sender.name, message))
         if isinstance(message, replicated_log.LogMessage):
             return self._of_ledger(now, sender, message)
-        return self._once(now, self.agreement.heard(now, sender, message))
+        return self._once(now, self.agreement.handle_message(now, sender, message))
 
     def _of_ledger(self, now: int, sender: Member, word: replicated_log.LogMessage) -> list[Sent]:
         if self.replicated_log is None:
--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -152,7 +152,7 @@
             if kind == "arrives":
                 if tuple(what) not in self.sent:
                     return False
-                told = one.heard(now, what[1], what[2])  # type: ignore[arg-type]
+                told = one.handle_message(now, what[1], what[2])  # type: ignore[arg-type]
             elif kind == "renews":
                 told = one.renew(now)
             elif kind == "proposes":
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -192,7 +192,7 @@
 
     # What comes in
 
-    def heard(self, now: int, sender: Member, message: ViewMessage) -> list[Sent]:
+    def handle_message(self, now: int, sender: Member, message: ViewMessage) -> list[Sent]:
         """A message of another gateway, late or repeated as it may be."""
         match message:
             case Decided(view):
@@ -294,8 +294,8 @@
         """Ask the voters of the present view; its own vote, if it has one, is there without a way."""
         word = proposal.word(view.number)
         sent = self._to(view.voters, word)
-        for _, answer in self.heard(now, self.me, word):
-            sent += self.heard(now, self.me, answer)
+        for _, answer in self.handle_message(now, self.me, word):
+            sent += self.handle_message(now, self.me, answer)
         return sent
 
     def _grant(self, now: int, member: Member, ask: LeaseRequest) -> list[Sent]:
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -129,10 +129,10 @@
     one, now = fleet.alive["a"].copy(), fleet.now
     members = (*one.view.members[:2], Member("c", 2))
     form = Form(View(one.number + 500, members, members))
-    assert one.works(now) and one.heard(now, members[2], form) == []
+    assert one.works(now) and one.handle_message(now, members[2], form) == []
     one.sealed = True
     assert one.active and one.leased(now) and not one.works(now)
-    assert one.heard(now, members[2], form) == [("c", Formed(form.view))]
+    assert one.handle_message(now, members[2], form) == [("c", Formed(form.view))]
 
 
 def test_a_log_is_stuck_from_when_a_formed_view_is_taken_up_until_one_is_followed():
@@ -164,7 +164,7 @@
     fleet = settled(fleet.after(("proposes", "a", (a.me, b.me))), {"a", "c"}, {"b", "c"})
     newer = fleet.alive["a"]
     old = Prepare(newer.number - 1, (9, "c"))
-    assert newer.heard(fleet.now, c.me, old) == [("c", Decided(newer.view))]
+    assert newer.handle_message(fleet.now, c.me, old) == [("c", Decided(newer.view))]
     assert newer.promised != (9, "c")
 
 
@@ -215,9 +215,9 @@
     fleet = fleet.after(("proposes", "a", (a, b)))
     one = fleet.alive["b"].copy()
     number = one.number
-    assert one.heard(fleet.now, a, Prepare(number, (1, "a"))) != []
-    one.heard(fleet.now, a, Decided(View(number + 1, (a, b), (a, b), one.view.voters)))
-    assert not one.active and one.heard(fleet.now, a, Prepare(number + 1, (1, "a"))) == []
-    assert one.heard(fleet.now, a, Revoked(number + 1)) == [] and not one.active
+    assert one.handle_message(fleet.now, a, Prepare(number, (1, "a"))) != []
+    one.handle_message(fleet.now, a, Decided(View(number + 1, (a, b), (a, b), one.view.voters)))
+    assert not one.active and one.handle_message(fleet.now, a, Prepare(number + 1, (1, "a"))) == []
+    assert one.handle_message(fleet.now, a, Revoked(number + 1)) == [] and not one.active
     one.renew(fleet.now + SMALL.binds())
-    assert one.active and one.heard(fleet.now, a, Prepare(number + 1, (1, "a"))) != []
+    assert one.active and one.handle_message(fleet.now, a, Prepare(number + 1, (1, "a"))) != []
