--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -135,7 +135,7 @@
     # What it says
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         return self.base + len(self.entries)
 
     @property
@@ -231,7 +231,7 @@
 
     def append_entry(self, now: int, entry: bytes) -> tuple[bool, list[Sent]]:
         """Add an entry, where this gateway leads and has room for it."""
-        if not self.leads or self.last - self.commit >= MOST_OPEN or len(entry) > MOST_ENTRY or self.view is None:
+        if not self.leads or self.last_index - self.commit >= MOST_OPEN or len(entry) > MOST_ENTRY or self.view is None:
             return False, []
         self.entries.append(entry)
         sent = self._catch_all(now)
@@ -254,20 +254,22 @@
                 return self._held(sender, word)
             case InstallSnapshot(ballot, base, snapshot, entries, commit, at):
                 self._under(now, ballot, sender)
-                if self.accepted != ballot or base > self.last:
+                if self.accepted != ballot or base > self.last_index:
                     self._take_over(ballot, base, snapshot, entries)
-                elif self.last < base + len(entries):  # a word that comes twice must not undo what was added since
-                    self.entries += entries[self.last - base :]
-                self._commit(min(commit, self.last))
-                return [(sender.name, LogAccepted(ballot, self.last, at))]
+                elif self.last_index < base + len(
+                    entries
+                ):  # a word that comes twice must not undo what was added since
+                    self.entries += entries[self.last_index - base :]
+                self._commit(min(commit, self.last_index))
+                return [(sender.name, LogAccepted(ballot, self.last_index, at))]
             case LogAccept(ballot, after, entries, commit, at):
                 self._under(now, ballot, sender)
                 if self.accepted != ballot:
                     return [(sender.name, LogAccepted(ballot, -1, at))]
-                if after <= self.last < after + len(entries):
-                    self.entries += entries[self.last - after :]
-                self._commit(min(commit, self.last))
-                return [(sender.name, LogAccepted(ballot, self.last, at))]
+                if after <= self.last_index < after + len(entries):
+                    self.entries += entries[self.last_index - after :]
+                self._commit(min(commit, self.last_index))
+                return [(sender.name, LogAccepted(ballot, self.last_index, at))]
             case LogAccepted(ballot, upto, at):
                 if (
                     self.leading
@@ -279,7 +281,7 @@
                     self.leading.took[sender] = max(self.leading.took.get(sender, -1), upto)
                     self.leading.answered[sender] = max(self.leading.answered.get(sender, at), at)
                     self._advance()
-                    return self._catch_up(now, sender) if upto < self.last else []
+                    return self._catch_up(now, sender) if upto < self.last_index else []
             case LogRejected(ballot):
                 if self.leading and ballot > self.leading.ballot:
                     self._promise(max(self.promised, ballot))
@@ -335,8 +337,8 @@
         self._take_over(leading.ballot, best.base, best.snapshot, best.entries)
         if fresh and (formed or self.by_word):
             self.entries.append(self.machine.lost(view.number))
-        self._commit(min(max(held.commit for held in mine), self.last))
-        leading.took = {self.me: self.last}
+        self._commit(min(max(held.commit for held in mine), self.last_index))
+        leading.took = {self.me: self.last_index}
         sent = self._catch_all(now)
         self._advance()
         return sent
@@ -371,7 +373,7 @@
     def _settled(self) -> int:
         """Up to which entry a majority of the view's voters accepted under this ballot; -1: not yet."""
         assert self.leading is not None and self.view is not None
-        self.leading.took[self.me] = self.last
+        self.leading.took[self.me] = self.last_index
         took = sorted((self.leading.took.get(voter, -1) for voter in self.view.voters), reverse=True)
         return took[majority(self.view.voters) - 1]
 
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -71,7 +71,7 @@
         assert book is not None
         if book.leads is not self.led:
             self.led = book.leads
-            self.log.info("ledger", leads=self.led, view=self.cluster_member.agreement.number, entries=book.last)
+            self.log.info("ledger", leads=self.led, view=self.cluster_member.agreement.number, entries=book.last_index)
         self.controller.leads(now, book.leads)
         if now // STRETCH != self.stretch:
             self.stretch = now // STRETCH
@@ -105,7 +105,7 @@
                     Status(
                         self.cluster_member.me.name,
                         self.cluster_member.agreement.number,
-                        book.last,
+                        book.last_index,
                         self.state.kept,
                         tuple(self.state.against(steps[0])) if steps else (),
                     )
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -78,7 +78,7 @@
             release.why if release else "",
             tuple(self.broken),
             self.most_out,
-            best.replicated_log.last,
+            best.replicated_log.last_index,
         )
 
     def shortest(self) -> float:
