--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -102,7 +102,7 @@
 Sent = tuple[str, LogMessage]
 
 
-class Leading:
+class LeaderState:
     """What a leader, or who tries to be one, knows of the others."""
 
     def __init__(self, ballot: Ballot) -> None:
@@ -112,7 +112,7 @@
         self.answered: dict[Member, int] = {}  # when what each answered last was said, by the leader's clock
         self.ready = False  # the log is settled
 
-    def copy(self) -> Leading:
+    def copy(self) -> LeaderState:
         made = copy(self)
         made.held, made.took, made.answered = dict(self.held), dict(self.took), dict(self.answered)
         return made
@@ -129,7 +129,7 @@
         self.commit = self.applied = 0
         self.heard_at = now  # of a leader under this view
         self.leader = ""  # by name, as last heard
-        self.leading: Leading | None = None
+        self.leader_state: LeaderState | None = None
         self.by_word = False  # an operator says that what a majority of the view before knew is lost for good
 
     # What it says
@@ -154,29 +154,31 @@
     @property
     def leads(self) -> bool:
         """Whether it leads, and a majority has taken its log over."""
-        return self.leading is not None and self.leading.ready and self._settled() >= self.base
+        return self.leader_state is not None and self.leader_state.ready and self._settled() >= self.base
 
     def leader_confirmed_at(self, now: int) -> int:
         """Up to which moment of its own clock it surely led: a majority answered what it said then, and so had
         promised nothing higher. An order that was asked for later is not given yet."""
-        if not self.leads or self.view is None or self.leading is None:
+        if not self.leads or self.view is None or self.leader_state is None:
             return -1
-        answered = [now if voter == self.me else self.leading.answered.get(voter, -1) for voter in self.view.voters]
+        answered = [
+            now if voter == self.me else self.leader_state.answered.get(voter, -1) for voter in self.view.voters
+        ]
         return sorted(answered, reverse=True)[majority(self.view.voters) - 1]
 
     def copy(self) -> ReplicatedLog:
         made = copy(self)
         made.machine, made.entries = self.machine.copy(), list(self.entries)
-        made.leading = self.leading and self.leading.copy()
+        made.leader_state = self.leader_state and self.leader_state.copy()
         return made
 
     def key(self) -> tuple[object, ...]:
         """All that decides what it will do."""
-        leading = self.leading and (
-            self.leading.ballot,
-            self.leading.ready,
-            frozenset(self.leading.held.items()),
-            frozenset(self.leading.took.items()),
+        leader_state = self.leader_state and (
+            self.leader_state.ballot,
+            self.leader_state.ready,
+            frozenset(self.leader_state.held.items()),
+            frozenset(self.leader_state.took.items()),
         )
         return (
             self.me,
@@ -186,7 +188,7 @@
             self.base,
             tuple(self.entries),
             self.commit,
-            leading,
+            leader_state,
             self.by_word,
         )
 
@@ -194,19 +196,19 @@
 
     def install_view(self, now: int, view: View) -> None:
         """Another view was agreed on."""
-        self.view, self.leading, self.leader, self.heard_at, self.by_word = view, None, "", now, False
+        self.view, self.leader_state, self.leader, self.heard_at, self.by_word = view, None, "", now, False
 
     def tick(self, now: int, turn: int) -> list[Sent]:
         """`turn`: this gateway's place among the voters that seem to be there."""
         if self.view is None or self.me not in self.view.voters:
             return []
-        if self.leading is None:
+        if self.leader_state is None:
             first = not self.state_transferred and turn == 0  # a new view: its first voter need not wait
             if not first and now - self.heard_at < self.lease * PATIENCE * (1 + turn):
                 return []
             return self.start_election(now)
         self.heard_at = now
-        return self._catch_all(now) if self.leading.ready else self._gather()
+        return self._catch_all(now) if self.leader_state.ready else self._gather()
 
     def start_election(self, now: int) -> list[Sent]:
         """Try to lead: ask the voters of this view and of the one before for what they hold."""
@@ -216,7 +218,7 @@
         ballot = (self.view.number, after, self.me.name)
         if ballot <= self.promised:
             return []
-        self.leading, self.heard_at = Leading(ballot), now
+        self.leader_state, self.heard_at = LeaderState(ballot), now
         sent = self._gather()
         return sent + self._held(self.me, self._hold(ballot))
 
@@ -227,7 +229,7 @@
     def recover_without_electors(self, now: int) -> list[Sent]:
         """An operator's word that what the view before knew is lost: a majority of this view's voters is enough."""
         self.by_word = True
-        return self._try(now) if self.leading else self.start_election(now)
+        return self._try(now) if self.leader_state else self.start_election(now)
 
     def append_entry(self, now: int, entry: bytes) -> tuple[bool, list[Sent]]:
         """Add an entry, where this gateway leads and has room for it."""
@@ -272,18 +274,18 @@
                 return [(sender.name, LogAccepted(ballot, self.last_index, at))]
             case LogAccepted(ballot, upto, at):
                 if (
-                    self.leading
-                    and self.leading.ready
-                    and ballot == self.leading.ballot
+                    self.leader_state
+                    and self.leader_state.ready
+                    and ballot == self.leader_state.ballot
                     and self.view
                     and sender in self.view.voters
                 ):
-                    self.leading.took[sender] = max(self.leading.took.get(sender, -1), upto)
-                    self.leading.answered[sender] = max(self.leading.answered.get(sender, at), at)
+                    self.leader_state.took[sender] = max(self.leader_state.took.get(sender, -1), upto)
+                    self.leader_state.answered[sender] = max(self.leader_state.answered.get(sender, at), at)
                     self._advance()
                     return self._catch_up(now, sender) if upto < self.last_index else []
             case LogRejected(ballot):
-                if self.leading and ballot > self.leading.ballot:
+                if self.leader_state and ballot > self.leader_state.ballot:
                     self._promise(max(self.promised, ballot))
         return []
 
@@ -298,8 +300,8 @@
     def _promise(self, ballot: Ballot) -> None:
         """Accept nothing lower from now on, and lead no longer under a lower one."""
         self.promised = ballot
-        if self.leading and self.leading.ballot < ballot:
-            self.leading = None
+        if self.leader_state and self.leader_state.ballot < ballot:
+            self.leader_state = None
 
     def _under(self, now: int, ballot: Ballot, leader: Member) -> None:
         self._promise(ballot)
@@ -311,46 +313,46 @@
         return LogPromise(ballot, self.accepted, self.base, self.snapshot, tuple(self.entries), self.commit)
 
     def _held(self, sender: Member, held: LogPromise) -> list[Sent]:
-        if self.leading is None or self.leading.ready or held.ballot != self.leading.ballot:
+        if self.leader_state is None or self.leader_state.ready or held.ballot != self.leader_state.ballot:
             return []
-        self.leading.held[sender] = held
+        self.leader_state.held[sender] = held
         return self._try(self.heard_at)
 
     def _try(self, now: int) -> list[Sent]:
         """Take the log over once nothing that was decided can be missing from it."""
-        view, leading = self.view, self.leading
-        if view is None or leading is None or leading.ready:
+        view, leader_state = self.view, self.leader_state
+        if view is None or leader_state is None or leader_state.ready:
             return []
-        mine = [held for member, held in leading.held.items() if member in view.voters]
+        mine = [held for member, held in leader_state.held.items() if member in view.voters]
         if len(mine) < majority(view.voters):
             return []
         formed = not view.electors
         if not formed and not self.by_word and all(held.accepted[0] < view.number for held in mine):
             # Nobody here has it under this view: a majority of those who decided this view has all that was decided.
-            before = [held for member, held in leading.held.items() if member in view.electors]
+            before = [held for member, held in leader_state.held.items() if member in view.electors]
             if len(before) < majority(view.electors):
                 return []
             mine += before
         best = max(mine, key=lambda held: (held.accepted, held.base + len(held.entries), held.commit))
         fresh = best.accepted[0] < view.number  # the first under this view
-        leading.ready, self.leader = True, self.me.name
-        self._take_over(leading.ballot, best.base, best.snapshot, best.entries)
+        leader_state.ready, self.leader = True, self.me.name
+        self._take_over(leader_state.ballot, best.base, best.snapshot, best.entries)
         if fresh and (formed or self.by_word):
             self.entries.append(self.machine.lost(view.number))
         self._commit(min(max(held.commit for held in mine), self.last_index))
-        leading.took = {self.me: self.last_index}
+        leader_state.took = {self.me: self.last_index}
         sent = self._catch_all(now)
         self._advance()
         return sent
 
     def _gather(self) -> list[Sent]:
         """To all that are asked for what they hold and have not told it."""
-        assert self.view is not None and self.leading is not None
+        assert self.view is not None and self.leader_state is not None
         asked = dict.fromkeys((*self.view.voters, *self.view.electors))
         return [
-            (member.name, LogPrepare(self.leading.ballot))
+            (member.name, LogPrepare(self.leader_state.ballot))
             for member in asked
-            if member != self.me and member not in self.leading.held
+            if member != self.me and member not in self.leader_state.held
         ]
 
     def _catch_all(self, now: int) -> list[Sent]:
@@ -359,26 +361,26 @@
 
     def _catch_up(self, now: int, voter: Member) -> list[Sent]:
         """What a voter is not known to have taken, were it nothing: it hears that the leader is there."""
-        leading = self.leading
-        assert leading is not None
-        took = leading.took.get(voter, -1)
+        leader_state = self.leader_state
+        assert leader_state is not None
+        took = leader_state.took.get(voter, -1)
         if took < self.base:
             word: LogMessage = InstallSnapshot(
-                leading.ballot, self.base, self.snapshot, tuple(self.entries), self.commit, now
+                leader_state.ballot, self.base, self.snapshot, tuple(self.entries), self.commit, now
             )
         else:
-            word = LogAccept(leading.ballot, took, tuple(self.entries[took - self.base :]), self.commit, now)
+            word = LogAccept(leader_state.ballot, took, tuple(self.entries[took - self.base :]), self.commit, now)
         return [(voter.name, word)]
 
     def _settled(self) -> int:
         """Up to which entry a majority of the view's voters accepted under this ballot; -1: not yet."""
-        assert self.leading is not None and self.view is not None
-        self.leading.took[self.me] = self.last_index
-        took = sorted((self.leading.took.get(voter, -1) for voter in self.view.voters), reverse=True)
+        assert self.leader_state is not None and self.view is not None
+        self.leader_state.took[self.me] = self.last_index
+        took = sorted((self.leader_state.took.get(voter, -1) for voter in self.view.voters), reverse=True)
         return took[majority(self.view.voters) - 1]
 
     def _advance(self) -> None:
-        if self.leading is not None and self.leading.ready:
+        if self.leader_state is not None and self.leader_state.ready:
             self._commit(self._settled())
 
     def _commit(self, upto: int) -> None:
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -79,7 +79,7 @@
     def renew(self, now: int) -> list[Sent]:
         """Ask for leases anew; as a leader, tell the log again."""
         sent: list[Sent] = list(self.agreement.renew(now))
-        if self.log.leading is not None:
+        if self.log.leader_state is not None:
             sent += self.log.tick(now, 0)
         self._carry(now)
         return sent
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -83,9 +83,9 @@
                 found.append(("leads", name))
             if replicated_log.leads and free["offer"]:
                 found += [("offers", name, subject) for subject in SUBJECTS]
-            if replicated_log.leading and free["recover"]:
+            if replicated_log.leader_state and free["recover"]:
                 found.append(("recovers", name))
-            if replicated_log.leading and free["order"]:
+            if replicated_log.leader_state and free["order"]:
                 found += [("orders", name, subject) for subject in SUBJECTS if self._granted(replicated_log, subject)]
             found += [("sees", name, subject) for subject in SUBJECTS if self._seen_back(replicated_log, subject)]
         found += [("gets", order) for order in self.orders]
@@ -111,7 +111,7 @@
         else:
             if not super()._happens(event):
                 return False
-            if kind == "renews" and (replicated_log := self._own(str(what[0]))).leading:
+            if kind == "renews" and (replicated_log := self._own(str(what[0]))).leader_state:
                 self._say(str(what[0]), replicated_log.tick(self.clock(str(what[0])), 0))
         self._carry()
         self._judge()
@@ -168,13 +168,13 @@
     def _confirmed(self, replicated_log: ReplicatedLog) -> bool:
         """A majority of its voters promised nothing higher: it led at this moment, which is after it was asked."""
         view = replicated_log.view
-        assert view is not None and replicated_log.leading is not None
+        assert view is not None and replicated_log.leader_state is not None
         still = [
             voter
             for voter in view.voters
             if voter.name in self.alive
             and self.alive[voter.name].me == voter
-            and self.ledgers[voter.name].promised <= replicated_log.leading.ballot
+            and self.ledgers[voter.name].promised <= replicated_log.leader_state.ballot
         ]
         return len(still) >= majority(view.voters)
 
@@ -184,7 +184,7 @@
             self.used["lead"] += 1
             self._say(name, replicated_log.start_election(now))
             return True
-        if replicated_log.leading is None or not replicated_log.leading.ready:
+        if replicated_log.leader_state is None or not replicated_log.leader_state.ready:
             return False
         subject = str(what[0]) if what else ""
         if kind == "offers":
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -68,7 +68,7 @@
     """A follower forgets what it promised, so two leaders may decide."""
 
     def handle_message(self, now, sender, word):
-        if isinstance(word, LogPrepare | InstallSnapshot | LogAccept) and self.leading is None:
+        if isinstance(word, LogPrepare | InstallSnapshot | LogAccept) and self.leader_state is None:
             self.promised = ZERO_BALLOT
         return super().handle_message(now, sender, word)
 
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -49,9 +49,9 @@
 
     def tick(self, now: int, turn: int):
         sent = super().tick(now, 0)
-        if self.leading is not None and not self.leading.ready:
-            self.leading.ready = True
-            self._take_over(self.leading.ballot, self.base, self.snapshot, tuple(self.entries))
+        if self.leader_state is not None and not self.leader_state.ready:
+            self.leader_state.ready = True
+            self._take_over(self.leader_state.ballot, self.base, self.snapshot, tuple(self.entries))
         return sent
 
 
