--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -257,7 +257,7 @@
             case InstallSnapshot(ballot, base, snapshot, entries, commit, at):
                 self._under(now, ballot, sender)
                 if self.accepted != ballot or base > self.last_index:
-                    self._take_over(ballot, base, snapshot, entries)
+                    self._adopt_log(ballot, base, snapshot, entries)
                 elif self.last_index < base + len(
                     entries
                 ):  # a word that comes twice must not undo what was added since
@@ -291,7 +291,7 @@
 
     # Within
 
-    def _take_over(self, ballot: Ballot, base: int, snapshot: bytes, entries: tuple[bytes, ...]) -> None:
+    def _adopt_log(self, ballot: Ballot, base: int, snapshot: bytes, entries: tuple[bytes, ...]) -> None:
         """A whole log, and the state from its snapshot on: after a loss it may lack what was applied here."""
         self.accepted, self.base, self.snapshot, self.entries = ballot, base, snapshot, list(entries)
         self.machine.restore(snapshot)
@@ -336,7 +336,7 @@
         best = max(mine, key=lambda held: (held.accepted, held.base + len(held.entries), held.commit))
         fresh = best.accepted[0] < view.number  # the first under this view
         leader_state.ready, self.leader = True, self.me.name
-        self._take_over(leader_state.ballot, best.base, best.snapshot, best.entries)
+        self._adopt_log(leader_state.ballot, best.base, best.snapshot, best.entries)
         if fresh and (formed or self.by_word):
             self.entries.append(self.machine.lost(view.number))
         self._commit(min(max(held.commit for held in mine), self.last_index))
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -51,7 +51,7 @@
         sent = super().tick(now, 0)
         if self.leader_state is not None and not self.leader_state.ready:
             self.leader_state.ready = True
-            self._take_over(self.leader_state.ballot, self.base, self.snapshot, tuple(self.entries))
+            self._adopt_log(self.leader_state.ballot, self.base, self.snapshot, tuple(self.entries))
         return sent
 
 
