--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -35,7 +35,9 @@
     def apply(self, index: int, entry: bytes) -> None: ...
     def snapshot(self) -> bytes: ...
     def restore(self, data: bytes) -> None: ...
-    def lost(self, number: int) -> bytes: ...  # the entry by which view `number` says that the state is a guess
+    def state_lost_entry(
+        self, number: int
+    ) -> bytes: ...  # the entry by which view `number` says that the state is a guess
     def copy(self) -> StateMachine: ...
 
 
@@ -338,7 +340,7 @@
         leader_state.ready, self.leader = True, self.me.name
         self._adopt_log(leader_state.ballot, best.base, best.snapshot, best.entries)
         if fresh and (formed or self.by_word):
-            self.entries.append(self.machine.lost(view.number))
+            self.entries.append(self.machine.state_lost_entry(view.number))
         self._commit(min(max(held.commit for held in mine), self.last_index))
         leader_state.took = {self.me: self.last_index}
         sent = self._catch_all(now)
--- a/tansykeel/control/budget_state.py
+++ b/tansykeel/control/budget_state.py
@@ -73,7 +73,7 @@
         self.lost_in = kept.lost_in
         self.records = kept.records
 
-    def lost(self, number: int) -> bytes:
+    def state_lost_entry(self, number: int) -> bytes:
         """Return the entry by which view `number`, formed anew, begins."""
         return encode_entry(StateLost(number))
 
--- a/tansykeel/maintenance/state.py
+++ b/tansykeel/maintenance/state.py
@@ -83,7 +83,7 @@
     def restore(self, data: bytes) -> None:
         self.kept = _KEPT.decode(data)
 
-    def lost(self, number: int) -> bytes:
+    def state_lost_entry(self, number: int) -> bytes:
         return packed(Lost(number))
 
     def copy(self) -> State:
--- a/tests/control/test_budget_state.py
+++ b/tests/control/test_budget_state.py
@@ -72,8 +72,8 @@
     assert units(state) == {"a": 500, "b": 500}  # b was under its target, and a holds nothing of its earlier term
     state.take(NodeReclaimed("b", 1, 1))
     assert units(state) == {"a": 1_000}
-    state.apply(4, state.lost(7))
-    assert units(state) == {} and decode_entry(state.lost(7)) == StateLost(7)
+    state.apply(4, state.state_lost_entry(7))
+    assert units(state) == {} and decode_entry(state.state_lost_entry(7)) == StateLost(7)
     state.take(registered("c", region_units=400))
     assert units(state) == {"c": 400}  # all nodes were started anew, with new settings
 
