--- a/tansykeel/audit/cluster.py
+++ b/tansykeel/audit/cluster.py
@@ -107,7 +107,7 @@
         self.views: dict[int, View] = {}
         asked: dict[tuple[str, int, int], tuple[int, int]] = {}  # by whom, for which view, its stamp: life, and when
         self.grants: dict[tuple[str, int, int, str, int], list[tuple[int, int]]] = defaultdict(list)
-        holds = law.terms.holds() * TENTH
+        holds = law.terms.holder_duration() * TENTH
         for seen in law.words:
             match seen.word:
                 case Decided(view) | Form(view) | Formed(view):
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -54,7 +54,7 @@
     drift: float = 0.01
     voters: int = 5  # of a view; fewer than all, so that a large fleet agrees as cheaply as a small one
 
-    def holds(self) -> int:
+    def holder_duration(self) -> int:
         """How long a lease counts for its holder, from when it asked."""
         return int(self.lease * (1 - self.drift))
 
@@ -234,7 +234,7 @@
             case LeaseRequest():
                 return self._grant(now, sender, message)
             case LeaseGrant(_, at, active):
-                self.grants[sender] = max(self.grants.get(sender, 0), at + self.terms.holds())
+                self.grants[sender] = max(self.grants.get(sender, 0), at + self.terms.holder_duration())
                 self.active = self.active or active
                 return []
             case Prepare() | Accept():
@@ -303,7 +303,7 @@
             return []
         self.bound = max(self.bound, now + self.terms.binds())
         if member == self.me:
-            self.grants[member] = ask.at + self.terms.holds()
+            self.grants[member] = ask.at + self.terms.holder_duration()
             return []
         return [(member.name, LeaseGrant(ask.number, ask.at, self.active))]
 
