--- a/benchmarks/control_mutants.py
+++ b/benchmarks/control_mutants.py
@@ -142,7 +142,7 @@
         "lease_left",
         lambda self, now: self.terms.lease if self.lease_end > now else 0,
     ),
-    Mutant("a grant between nodes binds nobody", LeaseTerms, "binds", lambda self: 1),
+    Mutant("a grant between nodes binds nobody", LeaseTerms, "granter_duration", lambda self: 1),
     Mutant("gateway counts from receipt", GatewaySession, "renewed", counts_from_receipt),
 )
 
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -58,7 +58,7 @@
         """How long a lease counts for its holder, from when it asked."""
         return int(self.lease * (1 - self.drift))
 
-    def binds(self) -> int:
+    def granter_duration(self) -> int:
         """How long a grant binds whoever gave it, from when it was given."""
         return int(self.lease * (1 + self.drift)) + 1
 
@@ -301,7 +301,7 @@
     def _grant(self, now: int, member: Member, ask: LeaseRequest) -> list[Sent]:
         if self.view is None or ask.number != self.number or self.me not in self.view.voters:
             return []
-        self.bound = max(self.bound, now + self.terms.binds())
+        self.bound = max(self.bound, now + self.terms.granter_duration())
         if member == self.me:
             self.grants[member] = ask.at + self.terms.holder_duration()
             return []
--- a/tansykeel/control/budget_agent.py
+++ b/tansykeel/control/budget_agent.py
@@ -142,7 +142,7 @@
         self._proposed_at.clear()
         if not view.electors:
             # A node that restarted has forgotten whom it granted leases; all such ended their lives before this view.
-            self.register_from = now + self.terms.binds()
+            self.register_from = now + self.terms.granter_duration()
         return True
 
     def _take_record(self) -> None:
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -171,7 +171,7 @@
 def test_terms_leave_room_for_clocks_that_run_apart():
     """A holder's clock that is slow by the drift, a giver's that is fast by it: the lease ends first all the same."""
     terms = LeaseTerms(lease=30_000, drift=0.01)
-    assert terms.holder_duration() / (1 - terms.drift) <= terms.binds() / (1 + terms.drift)
+    assert terms.holder_duration() / (1 - terms.drift) <= terms.granter_duration() / (1 + terms.drift)
 
 
 def test_members_twice_and_none_are_refused_with_what_is_legal():
@@ -219,5 +219,5 @@
     one.handle_message(fleet.now, a, Decided(View(number + 1, (a, b), (a, b), one.view.voters)))
     assert not one.active and one.handle_message(fleet.now, a, Prepare(number + 1, (1, "a"))) == []
     assert one.handle_message(fleet.now, a, Revoked(number + 1)) == [] and not one.active
-    one.renew(fleet.now + SMALL.binds())
+    one.renew(fleet.now + SMALL.granter_duration())
     assert one.active and one.handle_message(fleet.now, a, Prepare(number + 1, (1, "a"))) != []
