--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -78,7 +78,7 @@
 
     def counts(self, now: int) -> tuple[int, Fraction, int]:
         """The view that it counts by, its part, and until when that holds if nothing more is heard (0: for good)."""
-        until = self.agreement.until()
+        until = self.agreement.lease_expires_at()
         return self.agreement.number, self.part(now), until if until > now else 0
 
     def due(self) -> int:
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -111,7 +111,7 @@
         """The highest number that it followed or took up."""
         return max(self.number, self.formed.number if self.formed else 0)
 
-    def until(self) -> int:
+    def lease_expires_at(self) -> int:
         """When a majority of the view does not grant this gateway its part any more, unless it grants it anew."""
         if self.view is None or self.me not in self.view.members:
             return NEVER
@@ -120,7 +120,7 @@
 
     def leased(self, now: int) -> bool:
         """Whether a majority of the view grants this gateway its part now."""
-        return self.until() > now
+        return self.lease_expires_at() > now
 
     def works(self, now: int) -> bool:
         """Whether its view is good for something: one that is formed takes its place only where it is not.
--- a/tansykeel/control/budget_agent.py
+++ b/tansykeel/control/budget_agent.py
@@ -81,7 +81,7 @@
         """
         view = self.member.agreement.view
         began = view is not None and view is not self.view and self._follow(now, view)
-        self.lease_end = max(self.lease_end, self.member.agreement.until())
+        self.lease_end = max(self.lease_end, self.member.agreement.lease_expires_at())
         self._take_record()
         return began
 
--- a/tansykeel/edge/cluster_connections.py
+++ b/tansykeel/edge/cluster_connections.py
@@ -75,7 +75,7 @@
             member.me.incarnation,
             agreement.number,
             agreement.active,
-            max(agreement.until() - now, 0) * MICROS,
+            max(agreement.lease_expires_at() - now, 0) * MICROS,
             part,
             member.failure_detector.doubt,
             tuple((m.name, m.incarnation) for m in view.members) if view else (),
--- a/tests/rehearse/test_chaos.py
+++ b/tests/rehearse/test_chaos.py
@@ -57,7 +57,9 @@
 
 def test_a_day_that_breaks_a_rule_is_cut_down_to_what_shows_it(monkeypatch):
     """Planted: a gateway goes on to count by a view that it follows, lease or none, and others take over its part."""
-    monkeypatch.setattr(ViewAgreement, "until", lambda one: 10**15 if one.view and one.me in one.view.members else -1)
+    monkeypatch.setattr(
+        ViewAgreement, "lease_expires_at", lambda one: 10**15 if one.view and one.me in one.view.members else -1
+    )
     base = day_of("chaos", None, {"part": 0.05})
     for seed in range(1, 30):
         day = drawn(base, seed)
