--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -219,7 +219,7 @@
         if agreement.number != self.number:
             # Guards against forming again and again: each new view waits for the grants of the one before to end.
             self.number, self.lacking = agreement.number, now
-        if view is None or not agreement.works(now):
+        if view is None or not agreement.has_working_view(now):
             tried = agreement.forming is not None or view is not None
             return [] if tried and now - self.lacking < SILENT * self.terms.lease else self._form(now, wall_ms)
         self.lacking = now
--- a/tansykeel/cluster/view_agreement.py
+++ b/tansykeel/cluster/view_agreement.py
@@ -122,7 +122,7 @@
         """Whether a majority of the view grants this gateway its part now."""
         return self.lease_expires_at() > now
 
-    def works(self, now: int) -> bool:
+    def has_working_view(self, now: int) -> bool:
         """Whether its view is good for something: one that is formed takes its place only where it is not.
 
         Guards against a formed view that never counts, for a member of it died before it ended its grants.
@@ -351,7 +351,7 @@
 
     def _takes_up(self, now: int, view: View) -> bool:
         """A formed view: by who is in it, knows of nothing later, and has no working view to lose."""
-        return self.me in view.members and view.number > self.latest and not self.works(now)
+        return self.me in view.members and view.number > self.latest and not self.has_working_view(now)
 
     def _all_formed(self, now: int) -> list[Sent]:
         if self.forming is None or len(self.forming[1]) < len(self.forming[0].view.members):
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -129,9 +129,9 @@
     one, now = fleet.alive["a"].copy(), fleet.now
     members = (*one.view.members[:2], Member("c", 2))
     form = Form(View(one.number + 500, members, members))
-    assert one.works(now) and one.handle_message(now, members[2], form) == []
+    assert one.has_working_view(now) and one.handle_message(now, members[2], form) == []
     one.sealed = True
-    assert one.active and one.leased(now) and not one.works(now)
+    assert one.active and one.leased(now) and not one.has_working_view(now)
     assert one.handle_message(now, members[2], form) == [("c", Formed(form.view))]
 
 
