--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -16,7 +16,7 @@
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
 from tansykeel.errors import Problem
 
-Make = Callable[[Member, tuple[str, ...], LeaseTerms, int], ViewAgreement]
+AgreementFactory = Callable[[Member, tuple[str, ...], LeaseTerms, int], ViewAgreement]
 Event = tuple[object, ...]  # its name, then whom and what
 SMALL = LeaseTerms(lease=2, drift=0.0)  # in ticks, by clocks that agree
 APART = LeaseTerms(lease=20, drift=0.1)  # in tenths of a tick, by clocks that are off by as much
@@ -57,7 +57,9 @@
 class Fleet:
     """A state: who lives, what was ever sent, what time it is, what was decided by anybody."""
 
-    def __init__(self, names: tuple[str, ...], terms: LeaseTerms, make: Make, rates: tuple[int, ...] = (1,)) -> None:
+    def __init__(
+        self, names: tuple[str, ...], terms: LeaseTerms, make: AgreementFactory, rates: tuple[int, ...] = (1,)
+    ) -> None:
         self.names, self.terms, self.make, self.rates = names, terms, make, rates
         self.now = 0
         self.lives = dict.fromkeys(names, 0)
@@ -180,7 +182,11 @@
 
 
 def agreed(
-    names: tuple[str, ...], terms: LeaseTerms, make: Make, rates: tuple[int, ...] = (1,), kind: type[Fleet] = Fleet
+    names: tuple[str, ...],
+    terms: LeaseTerms,
+    make: AgreementFactory,
+    rates: tuple[int, ...] = (1,),
+    kind: type[Fleet] = Fleet,
 ) -> Fleet:
     """A fleet that formed its first view, made it active and holds leases on it."""
     fleet = kind(names, terms, make, rates)
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -12,7 +12,7 @@
 from typing import cast
 
 from tansykeel.cluster.membership import Member, ViewMessage, majority
-from tansykeel.cluster.model_checker import Bounds, Event, Fleet, Make, NoFirstView, agreed
+from tansykeel.cluster.model_checker import AgreementFactory, Bounds, Event, Fleet, NoFirstView, agreed
 from tansykeel.cluster.replicated_log import LogMessage, ReplicatedLog
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.maintenance.disruption_budget import Bounds as Room
@@ -50,7 +50,9 @@
 class Books(Fleet):
     """A state of the search: what `Fleet` holds, ledgers, subjects, orders on their way, what was ever decided."""
 
-    def __init__(self, names: tuple[str, ...], terms: LeaseTerms, make: Make, rates: tuple[int, ...] = (1,)) -> None:
+    def __init__(
+        self, names: tuple[str, ...], terms: LeaseTerms, make: AgreementFactory, rates: tuple[int, ...] = (1,)
+    ) -> None:
         self.ledgers: dict[str, ReplicatedLog] = {}
         self.subjects = {name: Subject() for name in SUBJECTS}
         self.orders: dict[Order, None] = {}
@@ -248,7 +250,7 @@
                     self.law = f"two entries decided as number {index}: {unpacked(entry)}"
 
 
-def settled(names: tuple[str, ...], terms: LeaseTerms, make: Make, kind: type[Books] = Books) -> Books:
+def settled(names: tuple[str, ...], terms: LeaseTerms, make: AgreementFactory, kind: type[Books] = Books) -> Books:
     """A fleet that agreed, has a leader of its ledger, and was told by an operator that nothing is out."""
     fleet: Fleet = agreed(names, terms, make, kind=kind)
 
