--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -5,7 +5,16 @@
 import pytest
 
 from tansykeel.cluster.membership import NONE, SAFE, Decided, Form, Formed, Member, Prepare, Revoked, View
-from tansykeel.cluster.model_checker import APART, EXACT_CLOCK_TERMS, RATES, Bounds, Fleet, agreed, search, walks
+from tansykeel.cluster.model_checker import (
+    DRIFTING_CLOCK_TERMS,
+    EXACT_CLOCK_TERMS,
+    RATES,
+    Bounds,
+    Fleet,
+    agreed,
+    search,
+    walks,
+)
 from tansykeel.cluster.replicated_log import ReplicatedLog
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
 from tansykeel.control.budget_state import BudgetState
@@ -193,10 +202,10 @@
 
 def test_clocks_that_run_apart_break_no_law_unless_the_terms_take_them_for_alike():
     bounds = Bounds(states=40_000, crashes=0, restarts=0, forms=0, ticks=8, proposals=2)
-    alike = agreed(NAMES, LeaseTerms(lease=APART.lease, drift=0.0), ViewAgreement, RATES)
+    alike = agreed(NAMES, LeaseTerms(lease=DRIFTING_CLOCK_TERMS.lease, drift=0.0), ViewAgreement, RATES)
     found = walks(alike, bounds, 5, by_kind=True)
     assert found.law.startswith("parts are more than the whole") and "a tick passes" in found.trace
-    assert walks(agreed(NAMES, APART, ViewAgreement, RATES), Bounds(states=8_000), 3).law == ""
+    assert walks(agreed(NAMES, DRIFTING_CLOCK_TERMS, ViewAgreement, RATES), Bounds(states=8_000), 3).law == ""
 
 
 @pytest.mark.parametrize(
