--- a/tansykeel/cli/fleet.py
+++ b/tansykeel/cli/fleet.py
@@ -153,7 +153,14 @@
 
     Exit code 1 with the fewest events that show it, if parts make up more than the whole or a number has two views.
     """
-    from tansykeel.cluster.model_checker import DRIFTING_CLOCK_TERMS, EXACT_CLOCK_TERMS, RATES, Bounds, agreed, walks
+    from tansykeel.cluster.model_checker import (
+        DRIFTING_CLOCK_RATES,
+        DRIFTING_CLOCK_TERMS,
+        EXACT_CLOCK_TERMS,
+        Bounds,
+        agreed,
+        walks,
+    )
     from tansykeel.cluster.model_checker import search as every_order
     from tansykeel.cluster.view_agreement import ViewAgreement
 
@@ -168,7 +175,7 @@
         ("events", events),
     ):
         legal(name, value, 0)
-    terms, rates = (DRIFTING_CLOCK_TERMS, RATES) if apart else (EXACT_CLOCK_TERMS, (1,))
+    terms, rates = (DRIFTING_CLOCK_TERMS, DRIFTING_CLOCK_RATES) if apart else (EXACT_CLOCK_TERMS, (1,))
     first = agreed(tuple("abcde"[:gateways]), terms, ViewAgreement, rates)
     bounds = Bounds(ticks, proposals, crashes, restarts, forms, events, states)
     for how, found in (
--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -20,7 +20,7 @@
 Event = tuple[object, ...]  # its name, then whom and what
 EXACT_CLOCK_TERMS = LeaseTerms(lease=2, drift=0.0)  # in ticks, by clocks that agree
 DRIFTING_CLOCK_TERMS = LeaseTerms(lease=20, drift=0.1)  # in tenths of a tick, by clocks that are off by as much
-RATES = (11, 9)  # tenths that a fast and a slow clock show in a tick: of three gateways two are fast
+DRIFTING_CLOCK_RATES = (11, 9)  # tenths that a fast and a slow clock show in a tick: of three gateways two are fast
 STEPS = 80  # events of a drawn run
 FRESH = 0.7  # part of the steps of a drawn run in which something arrives that had not yet
 
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -6,9 +6,9 @@
 
 from tansykeel.cluster.membership import NONE, SAFE, Decided, Form, Formed, Member, Prepare, Revoked, View
 from tansykeel.cluster.model_checker import (
+    DRIFTING_CLOCK_RATES,
     DRIFTING_CLOCK_TERMS,
     EXACT_CLOCK_TERMS,
-    RATES,
     Bounds,
     Fleet,
     agreed,
@@ -202,10 +202,13 @@
 
 def test_clocks_that_run_apart_break_no_law_unless_the_terms_take_them_for_alike():
     bounds = Bounds(states=40_000, crashes=0, restarts=0, forms=0, ticks=8, proposals=2)
-    alike = agreed(NAMES, LeaseTerms(lease=DRIFTING_CLOCK_TERMS.lease, drift=0.0), ViewAgreement, RATES)
+    alike = agreed(NAMES, LeaseTerms(lease=DRIFTING_CLOCK_TERMS.lease, drift=0.0), ViewAgreement, DRIFTING_CLOCK_RATES)
     found = walks(alike, bounds, 5, by_kind=True)
     assert found.law.startswith("parts are more than the whole") and "a tick passes" in found.trace
-    assert walks(agreed(NAMES, DRIFTING_CLOCK_TERMS, ViewAgreement, RATES), Bounds(states=8_000), 3).law == ""
+    assert (
+        walks(agreed(NAMES, DRIFTING_CLOCK_TERMS, ViewAgreement, DRIFTING_CLOCK_RATES), Bounds(states=8_000), 3).law
+        == ""
+    )
 
 
 @pytest.mark.parametrize(
