--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class SearchResult:
     """What a search saw. `whole`: its states did not run out; `trace`: the fewest events that break `law`."""
 
     states: int
@@ -209,7 +209,7 @@
     return after
 
 
-def search(first: Fleet, bounds: Bounds, seed: int = 1) -> Found:
+def search(first: Fleet, bounds: Bounds, seed: int = 1) -> SearchResult:
     """Go through the states within the bounds, deepest first and in an order drawn by `seed`, until a law breaks."""
     chance = random.Random(seed)
     seen = {first.key()}
@@ -226,14 +226,14 @@
         seen.add(key)
         if after.law:
             events = [step for _, _, step in path if step] + [event]
-            return Found(len(seen), False, after.law, tuple(map(told, shrunk(first, events))))
+            return SearchResult(len(seen), False, after.law, tuple(map(told, shrunk(first, events))))
         if len(seen) >= bounds.states:
-            return Found(len(seen), False)
+            return SearchResult(len(seen), False)
         path.append((after, _drawn(after, bounds, chance), event))
-    return Found(len(seen), True)
+    return SearchResult(len(seen), True)
 
 
-def walks(first: Fleet, bounds: Bounds, seed: int, steps: int = STEPS, by_kind: bool = False) -> Found:
+def walks(first: Fleet, bounds: Bounds, seed: int, steps: int = STEPS, by_kind: bool = False) -> SearchResult:
     """Runs drawn by chance, for depths that a search of all states does not come to. What is on its way mostly arrives
     in some order, the rest late, again or never. `by_kind`: kinds of events are drawn evenly, however many of one."""
     chance, seen = random.Random(seed), 0
@@ -253,8 +253,8 @@
             fleet, seen = after, seen + 1
             events.append(event)
             if fleet.law:
-                return Found(seen, False, fleet.law, tuple(map(told, shrunk(first, events))))
-    return Found(seen, False)
+                return SearchResult(seen, False, fleet.law, tuple(map(told, shrunk(first, events))))
+    return SearchResult(seen, False)
 
 
 def _drawn(fleet: Fleet, bounds: Bounds, chance: random.Random) -> list[Event]:
--- a/tansykeel/control/model_walks.py
+++ b/tansykeel/control/model_walks.py
@@ -12,7 +12,7 @@
 from typing import cast
 
 from tansykeel.cluster.membership import Member, ViewMessage
-from tansykeel.cluster.model_checker import Bounds, Event, Found, NoFirstView, shrunk, told
+from tansykeel.cluster.model_checker import Bounds, Event, NoFirstView, SearchResult, shrunk, told
 from tansykeel.cluster.replicated_log import Propose
 from tansykeel.control.model_checker import ALIKE, GATEWAY, MOST, NODE, RegionModel
 from tansykeel.control.model_parts import REGION_UNITS, ModelTerms
@@ -207,7 +207,7 @@
                 self.step(("leads", node.name))
 
 
-def drawn_runs(first: RegionModel, bounds: Bounds, seed: int, steps: int = STEPS) -> Found:
+def drawn_runs(first: RegionModel, bounds: Bounds, seed: int, steps: int = STEPS) -> SearchResult:
     """Draw runs until so many states were looked at, or a law broke: then with the fewest events that show it."""
     chance, seen = Random(seed), 0
     while seen < bounds.states:
@@ -215,5 +215,5 @@
         broken = run.go(steps)
         seen += len(run.events)
         if broken:
-            return Found(seen, False, run.region.law, tuple(map(told, shrunk(first, run.events))))
-    return Found(seen, False)
+            return SearchResult(seen, False, run.region.law, tuple(map(told, shrunk(first, run.events))))
+    return SearchResult(seen, False)
