--- a/tansykeel/cli/control_search.py
+++ b/tansykeel/cli/control_search.py
@@ -42,8 +42,8 @@
         begun = time.monotonic()
         found = look()
         took = time.monotonic() - begun
-        if found.law:
-            typer.echo(f"{how}: {found.law}\n" + "\n".join(f"  {line}" for line in found.trace))
+        if found.violation:
+            typer.echo(f"{how}: {found.violation}\n" + "\n".join(f"  {line}" for line in found.trace))
             raise typer.Exit(BROKEN)
         whole = "all there are" if found.whole else "not all"
         typer.echo(f"{how}: {found.states} states in {took:.0f} s, {whole}; no law broken")
--- a/tansykeel/cli/fleet.py
+++ b/tansykeel/cli/fleet.py
@@ -182,8 +182,8 @@
         ("every order, deepest first", every_order(first, bounds, seed)),
         ("drawn runs", walks(first, bounds, seed)),
     ):
-        if found.law:
-            typer.echo(f"{how}: {found.law}\n" + "\n".join(f"  {line}" for line in found.trace))
+        if found.violation:
+            typer.echo(f"{how}: {found.violation}\n" + "\n".join(f"  {line}" for line in found.trace))
             raise typer.Exit(BROKEN)
         typer.echo(f"{how}: {found.states} states, {'all there are' if found.whole else 'not all'}; no law broken")
 
--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -44,7 +44,7 @@
 
     states: int
     whole: bool
-    law: str = ""
+    violation: str = ""
     trace: tuple[str, ...] = ()
 
 
@@ -67,14 +67,14 @@
         self.sent: dict[tuple[str, Member, ViewMessage], None] = {}  # in the order in which they were first sent
         self.decided: dict[int, View] = {}
         self.used = {"tick": 0, "propose": 0, "crash": 0, "restart": 0, "form": 0}
-        self.law = ""
+        self.violation = ""
         for name in names:
             self._start(name)
 
     def copy(self) -> Fleet:
         made = object.__new__(type(self))
         made.names, made.terms, made.make, made.rates = self.names, self.terms, self.make, self.rates
-        made.now, made.law = self.now, self.law
+        made.now, made.violation = self.now, self.violation
         made.lives, made.sent, made.decided = dict(self.lives), dict(self.sent), dict(self.decided)
         made.alive, made.used = dict(self.alive), dict(self.used)  # an agreement is copied before it moves
         return made
@@ -175,10 +175,12 @@
     def _judge(self) -> None:
         parts = {name: one.part(self.clock(name)) for name, one in self.alive.items()}
         if sum(parts.values(), Fraction(0)) > 1:
-            self.law = "parts are more than the whole: " + ", ".join(f"{name} {part}" for name, part in parts.items())
+            self.violation = "parts are more than the whole: " + ", ".join(
+                f"{name} {part}" for name, part in parts.items()
+            )
         for one in self.alive.values():
             if one.view and self.decided.setdefault(one.view.number, one.view) != one.view:
-                self.law = f"two views with the number {one.view.number}"
+                self.violation = f"two views with the number {one.view.number}"
 
 
 def agreed(
@@ -224,9 +226,9 @@
         if after is None or (key := after.key()) in seen:
             continue
         seen.add(key)
-        if after.law:
+        if after.violation:
             events = [step for _, _, step in path if step] + [event]
-            return SearchResult(len(seen), False, after.law, tuple(map(told, shrunk(first, events))))
+            return SearchResult(len(seen), False, after.violation, tuple(map(told, shrunk(first, events))))
         if len(seen) >= bounds.states:
             return SearchResult(len(seen), False)
         path.append((after, _drawn(after, bounds, chance), event))
@@ -252,8 +254,8 @@
             fresh |= dict.fromkeys(after.arrivals(fleet))
             fleet, seen = after, seen + 1
             events.append(event)
-            if fleet.law:
-                return SearchResult(seen, False, fleet.law, tuple(map(told, shrunk(first, events))))
+            if fleet.violation:
+                return SearchResult(seen, False, fleet.violation, tuple(map(told, shrunk(first, events))))
     return SearchResult(seen, False)
 
 
@@ -270,7 +272,7 @@
         if after is None:
             continue
         fleet = after
-        if fleet.law:
+        if fleet.violation:
             return True
     return False
 
--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -346,7 +346,7 @@
     def _judge(self) -> None:
         counted = [one for name in self.gateways if (one := self.counted_by(name)) is not None]
         if sum(one.units for one in counted) > REGION_UNITS:
-            self.law = f"gateways count more than the region's units: {_told(counted)}"
+            self.violation = f"gateways count more than the region's units: {_told(counted)}"
         for one in counted:
             self._judge_lease(one)
         for node in self.nodes.values():
@@ -361,19 +361,19 @@
     def _judge_lease(self, one: Counted) -> None:
         grant = self.granted[one.name]
         if one.units > grant.units or self.clock(one.gateway) >= grant.over_at:
-            self.law = f"a gateway counts by a lease that ended: {_told([one])}"
+            self.violation = f"a gateway counts by a lease that ended: {_told([one])}"
 
     def _judge_node(self, node: ModelNode, counted: list[Counted]) -> None:
         agreement, me = node.member.agreement, node.member.me
         mine = [one for one in counted if (one.name.node, one.name.incarnation) == (me.name, me.incarnation)]
         outstanding = node.answers_for(self.clock(node.name))
         if sum(one.units for one in mine) > outstanding:
-            self.law = f"{me.name} takes {outstanding} units for outstanding: {_told(mine)}"
+            self.violation = f"{me.name} takes {outstanding} units for outstanding: {_told(mine)}"
         view = agreement.view
         if view is None:
             return
         if self.decided.setdefault(view.number, view) != view:
-            self.law = f"two views with the number {view.number}"
+            self.violation = f"two views with the number {view.number}"
         if agreement.active and view.electors:  # a formed view says nothing of what earlier lives granted
             self._judge_removed(view, counted)
         self._judge_log(node)
@@ -383,14 +383,14 @@
         for one in counted:
             later = view.number > self.granted[one.name].view
             if later and (one.name.node, one.name.incarnation) not in there:
-                self.law = f"a lease counts after view {view.number} without its node is active: {_told([one])}"
+                self.violation = f"a lease counts after view {view.number} without its node is active: {_told([one])}"
 
     def _judge_log(self, node: ModelNode) -> None:
         log = node.member.log
         for index in range(log.base + 1, log.commit + 1):
             entry = log.entries[index - log.base - 1]
             if self.entries.setdefault((node.state.lost_in, index), entry) != entry:
-                self.law = f"two entries decided as number {index}: {decode_entry(entry)}"
+                self.violation = f"two entries decided as number {index}: {decode_entry(entry)}"
 
 
 def _told(counted: list[Counted]) -> str:
--- a/tansykeel/control/model_walks.py
+++ b/tansykeel/control/model_walks.py
@@ -73,8 +73,13 @@
     all_arrive()
     happen([("acts", name) for name in model.gateways])
     all_arrive()
-    if region.law or sum(one.units for name in model.gateways if (one := region.counted_by(name))) < REGION_UNITS - 1:
-        raise NoFirstView(f"no settled region of {names}: {region.law or 'the gateways count less than its units'}")
+    if (
+        region.violation
+        or sum(one.units for name in model.gateways if (one := region.counted_by(name))) < REGION_UNITS - 1
+    ):
+        raise NoFirstView(
+            f"no settled region of {names}: {region.violation or 'the gateways count less than its units'}"
+        )
     region.sent, region.used = late, dict.fromkeys(region.used, 0)
     return region
 
@@ -97,16 +102,16 @@
 
     def go(self, steps: int) -> bool:
         """Go so many events on. Return True where a law broke."""
-        while len(self.events) < steps and not self.region.law:
+        while len(self.events) < steps and not self.region.violation:
             if self.chance.random() < ROUND:
                 self._round()
             else:
                 self._single()
-        return bool(self.region.law)
+        return bool(self.region.violation)
 
     def step(self, event: Event) -> None:
         """Let an event happen, where it can and no law is broken yet."""
-        if self.region.law:
+        if self.region.violation:
             return
         self.fresh.pop(event, None)
         after = self.region.after(event)
@@ -215,5 +220,5 @@
         broken = run.go(steps)
         seen += len(run.events)
         if broken:
-            return SearchResult(seen, False, run.region.law, tuple(map(told, shrunk(first, run.events))))
+            return SearchResult(seen, False, run.region.violation, tuple(map(told, shrunk(first, run.events))))
     return SearchResult(seen, False)
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -240,14 +240,14 @@
     def _judge(self) -> None:
         super()._judge()
         if (out := [name for name, subject in self.subjects.items() if subject.out]) and len(out) > 1:
-            self.law = f"more out than the bounds allow: {', '.join(out)}"
+            self.violation = f"more out than the bounds allow: {', '.join(out)}"
         for replicated_log in self.ledgers.values():
             state = self._state(replicated_log)
             for index in range(replicated_log.base + 1, replicated_log.commit + 1):
                 entry = replicated_log.entries[index - replicated_log.base - 1]
                 epoch = state.kept.guess
                 if self.entries.setdefault((epoch, index), entry) != entry:
-                    self.law = f"two entries decided as number {index}: {unpacked(entry)}"
+                    self.violation = f"two entries decided as number {index}: {unpacked(entry)}"
 
 
 def settled(names: tuple[str, ...], terms: LeaseTerms, make: AgreementFactory, kind: type[Books] = Books) -> Books:
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -89,9 +89,9 @@
     cut = {"a", "b"}, {"a", "c"}
     fleet = settled(agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement), *cut)
     fleet.__class__ = Alone
-    assert fleet.law == "" and not fleet.alive["a"].leased(fleet.now)
+    assert fleet.violation == "" and not fleet.alive["a"].leased(fleet.now)
     fleet = settled(fleet.after(("forms", "a")), *cut)
-    assert fleet.law.startswith("parts are more than the whole")
+    assert fleet.violation.startswith("parts are more than the whole")
 
 
 @pytest.mark.parametrize("dead", NAMES)
@@ -193,32 +193,34 @@
 def test_no_order_of_events_breaks_a_law():
     first = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     for seed in (1, 2):
-        assert walks(first, Bounds(states=8_000), seed).law == ""
+        assert walks(first, Bounds(states=8_000), seed).violation == ""
     two = search(
         agreed(("a", "b"), EXACT_CLOCK_TERMS, ViewAgreement), Bounds(states=4_000, ticks=2, proposals=1, forms=0), 1
     )
-    assert two.law == "" and two.states > 1_000
+    assert two.violation == "" and two.states > 1_000
 
 
 def test_clocks_that_run_apart_break_no_law_unless_the_terms_take_them_for_alike():
     bounds = Bounds(states=40_000, crashes=0, restarts=0, forms=0, ticks=8, proposals=2)
     alike = agreed(NAMES, LeaseTerms(lease=DRIFTING_CLOCK_TERMS.lease, drift=0.0), ViewAgreement, DRIFTING_CLOCK_RATES)
     found = walks(alike, bounds, 5, by_kind=True)
-    assert found.law.startswith("parts are more than the whole") and "a tick passes" in found.trace
+    assert found.violation.startswith("parts are more than the whole") and "a tick passes" in found.trace
     assert (
-        walks(agreed(NAMES, DRIFTING_CLOCK_TERMS, ViewAgreement, DRIFTING_CLOCK_RATES), Bounds(states=8_000), 3).law
+        walks(
+            agreed(NAMES, DRIFTING_CLOCK_TERMS, ViewAgreement, DRIFTING_CLOCK_RATES), Bounds(states=8_000), 3
+        ).violation
         == ""
     )
 
 
 @pytest.mark.parametrize(
-    "make, law, bounds",
+    "make, violation, bounds",
     [(Hasty, "parts are more than the whole", CALM), (Forgetful, "two views with the number", CALM)],
 )
-def test_a_planted_fault_is_found_and_its_trace_is_short(make, law, bounds):
+def test_a_planted_fault_is_found_and_its_trace_is_short(make, violation, bounds):
     first = agreed(NAMES, EXACT_CLOCK_TERMS, make)
     found = walks(first, Bounds(states=100_000, crashes=0, restarts=0, forms=0), 1)
-    assert found.law.startswith(law) and 2 <= len(found.trace) <= 20
+    assert found.violation.startswith(violation) and 2 <= len(found.trace) <= 20
     assert "proposes" in found.trace[0]
 
 
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -91,17 +91,17 @@
         walks(first, Bounds(states=3_000, **ALL), 3, 150, by_kind=True),
         search(settled(("a", "b"), ModelTerms()), Bounds(2, 1, 1, 1, 1, 6, 3_000), 4),
     ):
-        assert found.law == "" and found.states >= 3_000
+        assert found.violation == "" and found.states >= 3_000
 
 
 def test_no_order_of_events_breaks_a_law_where_clocks_are_apart():
     first = settled(NAMES, ModelTerms(drift=0.1), APART)
     found = drawn_runs(first, Bounds(states=6_000, **ALL), 1)
-    assert found.law == "" and found.states >= 6_000
+    assert found.violation == "" and found.states >= 6_000
 
 
 @pytest.mark.parametrize(
-    "model, bounds, seed, law",
+    "model, bounds, seed, violation",
     [
         (node_with(Deposed), ALL, 4, "a lease counts after view"),
         (node_with(Hasty), ALL, 5, "gateways count more than the region's units"),
@@ -110,9 +110,9 @@
         (node_with(log=Forgetful), CALM, 6, "two entries decided"),
     ],
 )
-def test_a_planted_fault_is_found(model, bounds, seed, law):
+def test_a_planted_fault_is_found(model, bounds, seed, violation):
     found = drawn_runs(settled(NAMES, model), Bounds(states=40_000, **bounds), seed)
-    assert found.law.startswith(law) and len(found.trace) < 120
+    assert found.violation.startswith(violation) and len(found.trace) < 120
 
 
 @pytest.mark.parametrize("state, broken", [(BudgetState, False), (Versionless, True)])
@@ -155,7 +155,7 @@
     for word in late:
         run.step(("arrives", *word))
     rounds(1, "g")
-    assert late and run.region.law.startswith("gateways count more") is broken
+    assert late and run.region.violation.startswith("gateways count more") is broken
 
 
 def test_a_budget_that_was_released_does_not_come_back_with_an_earlier_state_of_the_log():
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -64,20 +64,20 @@
 def test_no_order_of_events_breaks_a_law():
     for seed in (1, 2):
         found = walks(settled(NAMES, TERMS, ViewAgreement), Bounds(states=3_000, **ALL), seed, 150, by_kind=True)
-        assert found.law == "" and found.states >= 3_000
+        assert found.violation == "" and found.states >= 3_000
 
 
 @pytest.mark.parametrize(
-    "kind, law, bounds, step",
+    "kind, violation, bounds, step",
     [
         (Remembered, "two entries decided", ALL, "restarts"),
         (Timed, "more out than the bounds", CALM, "sees"),
         (Obedient, "more out than the bounds", CALM, "gets"),
     ],
 )
-def test_a_planted_fault_is_found(kind, law, bounds, step):
+def test_a_planted_fault_is_found(kind, violation, bounds, step):
     found = walks(settled(NAMES, TERMS, ViewAgreement, kind), Bounds(states=40_000, **bounds), 1, 150, by_kind=True)
-    assert found.law.startswith(law) and any(step in line for line in found.trace) and len(found.trace) < 50
+    assert found.violation.startswith(violation) and any(step in line for line in found.trace) and len(found.trace) < 50
 
 
 def all_hear(fleet, *cut):
@@ -117,7 +117,7 @@
     late = fleet.after(("orders", "a", "x"))
     if late is not None:
         fleet = late.after(("gets", list(late.orders)[-1])) or late
-    assert fleet.law.startswith("more out") is broken
+    assert fleet.violation.startswith("more out") is broken
 
 
 def test_a_life_that_returned_empty_is_no_voter_of_before():
