--- a/tansykeel/cli/control_search.py
+++ b/tansykeel/cli/control_search.py
@@ -45,5 +45,5 @@
         if found.violation:
             typer.echo(f"{how}: {found.violation}\n" + "\n".join(f"  {line}" for line in found.trace))
             raise typer.Exit(BROKEN)
-        whole = "all there are" if found.whole else "not all"
+        whole = "all there are" if found.complete else "not all"
         typer.echo(f"{how}: {found.states} states in {took:.0f} s, {whole}; no law broken")
--- a/tansykeel/cli/fleet.py
+++ b/tansykeel/cli/fleet.py
@@ -185,7 +185,7 @@
         if found.violation:
             typer.echo(f"{how}: {found.violation}\n" + "\n".join(f"  {line}" for line in found.trace))
             raise typer.Exit(BROKEN)
-        typer.echo(f"{how}: {found.states} states, {'all there are' if found.whole else 'not all'}; no law broken")
+        typer.echo(f"{how}: {found.states} states, {'all there are' if found.complete else 'not all'}; no law broken")
 
 
 @app.command()
--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -43,7 +43,7 @@
     """What a search saw. `whole`: its states did not run out; `trace`: the fewest events that break `law`."""
 
     states: int
-    whole: bool
+    complete: bool
     violation: str = ""
     trace: tuple[str, ...] = ()
 
