--- a/tansykeel/cli/fleet.py
+++ b/tansykeel/cli/fleet.py
@@ -158,7 +158,7 @@
         DRIFTING_CLOCK_TERMS,
         EXACT_CLOCK_TERMS,
         Bounds,
-        agreed,
+        form_first_view,
         walks,
     )
     from tansykeel.cluster.model_checker import search as every_order
@@ -176,7 +176,7 @@
     ):
         legal(name, value, 0)
     terms, rates = (DRIFTING_CLOCK_TERMS, DRIFTING_CLOCK_RATES) if apart else (EXACT_CLOCK_TERMS, (1,))
-    first = agreed(tuple("abcde"[:gateways]), terms, ViewAgreement, rates)
+    first = form_first_view(tuple("abcde"[:gateways]), terms, ViewAgreement, rates)
     bounds = Bounds(ticks, proposals, crashes, restarts, forms, events, states)
     for how, found in (
         ("every order, deepest first", every_order(first, bounds, seed)),
--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -183,7 +183,7 @@
                 self.violation = f"two views with the number {one.view.number}"
 
 
-def agreed(
+def form_first_view(
     names: tuple[str, ...],
     terms: LeaseTerms,
     make: AgreementFactory,
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -12,7 +12,7 @@
 from typing import cast
 
 from tansykeel.cluster.membership import Member, ViewMessage, majority
-from tansykeel.cluster.model_checker import AgreementFactory, Bounds, Event, Fleet, NoFirstView, agreed
+from tansykeel.cluster.model_checker import AgreementFactory, Bounds, Event, Fleet, NoFirstView, form_first_view
 from tansykeel.cluster.replicated_log import LogMessage, ReplicatedLog
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.maintenance.disruption_budget import Bounds as Room
@@ -252,7 +252,7 @@
 
 def settled(names: tuple[str, ...], terms: LeaseTerms, make: AgreementFactory, kind: type[Books] = Books) -> Books:
     """A fleet that agreed, has a leader of its ledger, and was told by an operator that nothing is out."""
-    fleet: Fleet = agreed(names, terms, make, kind=kind)
+    fleet: Fleet = form_first_view(names, terms, make, kind=kind)
 
     def all_hear(events: list[Event]) -> None:
         nonlocal fleet
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -11,7 +11,7 @@
     EXACT_CLOCK_TERMS,
     Bounds,
     Fleet,
-    agreed,
+    form_first_view,
     search,
     walks,
 )
@@ -56,7 +56,7 @@
 
 
 def test_a_first_view_needs_every_name_and_then_each_has_an_equal_part():
-    fleet = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
+    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     assert {one.part(fleet.now) for one in fleet.alive.values()} == {Fraction(1, 3)}
     two = Fleet(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).after(("crashes", "c"))
     there = [one.me for one in two.alive.values()]
@@ -87,7 +87,7 @@
 
 def test_a_wrong_word_on_who_is_gone_breaks_the_law_and_the_judge_names_it():
     cut = {"a", "b"}, {"a", "c"}
-    fleet = settled(agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement), *cut)
+    fleet = settled(form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement), *cut)
     fleet.__class__ = Alone
     assert fleet.violation == "" and not fleet.alive["a"].leased(fleet.now)
     fleet = settled(fleet.after(("forms", "a")), *cut)
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("dead", NAMES)
 def test_a_gateway_that_died_is_left_out_and_its_part_shared(dead):
-    fleet = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).after(("crashes", dead))
+    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).after(("crashes", dead))
     others = tuple(one.me for one in fleet.alive.values())
     fleet = settled(fleet.after(("proposes", others[0].name, others)))
     assert {one.view.members for one in fleet.alive.values()} == {others}
@@ -104,7 +104,7 @@
 
 
 def test_a_life_that_comes_back_joins_as_another_member():
-    fleet = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).after(("restarts", "c"))
+    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).after(("restarts", "c"))
     assert fleet.alive["c"].part(fleet.now) == SAFE / 3
     members = (*(fleet.alive[name].me for name in "ab"), fleet.alive["c"].me)
     fleet = settled(fleet.after(("proposes", "a", members)))
@@ -113,7 +113,7 @@
 
 
 def test_a_minority_falls_back_on_its_safe_part_and_takes_part_again_once_healed():
-    fleet = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
+    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     cut = {"a", "c"}, {"b", "c"}
     fleet = settled(fleet, *cut)
     assert fleet.alive["c"].part(fleet.now) == SAFE / 3 and fleet.alive["a"].part(fleet.now) == Fraction(1, 3)
@@ -124,7 +124,7 @@
 
 
 def test_two_of_three_lost_form_no_view_until_all_names_are_back():
-    fleet = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
+    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     fleet = fleet.after(("restarts", "b")).after(("restarts", "c"))
     everyone = [one.me for one in fleet.alive.values()]
     fleet = settled(fleet.after(("proposes", "a", everyone[:2])) or fleet)
@@ -134,7 +134,7 @@
 
 
 def test_a_view_that_works_and_carries_nothing_any_more_gives_way_to_a_formed_one():
-    fleet = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
+    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     one, now = fleet.alive["a"].copy(), fleet.now
     members = (*one.view.members[:2], Member("c", 2))
     form = Form(View(one.number + 500, members, members))
@@ -145,7 +145,7 @@
 
 
 def test_a_log_is_stuck_from_when_a_formed_view_is_taken_up_until_one_is_followed():
-    fleet = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
+    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     view = fleet.alive["a"].view
     log = ReplicatedLog(fleet.alive["a"].me, BudgetState(), lease=100, now=fleet.now)
     log.install_view(fleet.now, view)
@@ -168,7 +168,7 @@
 
 
 def test_a_word_of_an_older_epoch_is_refused_and_answered_with_the_newer_view():
-    fleet = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
+    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     a, b, c = (fleet.alive[name] for name in NAMES)
     fleet = settled(fleet.after(("proposes", "a", (a.me, b.me))), {"a", "c"}, {"b", "c"})
     newer = fleet.alive["a"]
@@ -184,30 +184,34 @@
 
 
 def test_members_twice_and_none_are_refused_with_what_is_legal():
-    one = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).alive["a"]
+    one = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).alive["a"]
     for members in ([], [Member("a", 1), Member("a", 2)]):
         with pytest.raises(ValueError, match="legal: one life of each name"):
             one.propose(9, members)
 
 
 def test_no_order_of_events_breaks_a_law():
-    first = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
+    first = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     for seed in (1, 2):
         assert walks(first, Bounds(states=8_000), seed).violation == ""
     two = search(
-        agreed(("a", "b"), EXACT_CLOCK_TERMS, ViewAgreement), Bounds(states=4_000, ticks=2, proposals=1, forms=0), 1
+        form_first_view(("a", "b"), EXACT_CLOCK_TERMS, ViewAgreement),
+        Bounds(states=4_000, ticks=2, proposals=1, forms=0),
+        1,
     )
     assert two.violation == "" and two.states > 1_000
 
 
 def test_clocks_that_run_apart_break_no_law_unless_the_terms_take_them_for_alike():
     bounds = Bounds(states=40_000, crashes=0, restarts=0, forms=0, ticks=8, proposals=2)
-    alike = agreed(NAMES, LeaseTerms(lease=DRIFTING_CLOCK_TERMS.lease, drift=0.0), ViewAgreement, DRIFTING_CLOCK_RATES)
+    alike = form_first_view(
+        NAMES, LeaseTerms(lease=DRIFTING_CLOCK_TERMS.lease, drift=0.0), ViewAgreement, DRIFTING_CLOCK_RATES
+    )
     found = walks(alike, bounds, 5, by_kind=True)
     assert found.violation.startswith("parts are more than the whole") and "a tick passes" in found.trace
     assert (
         walks(
-            agreed(NAMES, DRIFTING_CLOCK_TERMS, ViewAgreement, DRIFTING_CLOCK_RATES), Bounds(states=8_000), 3
+            form_first_view(NAMES, DRIFTING_CLOCK_TERMS, ViewAgreement, DRIFTING_CLOCK_RATES), Bounds(states=8_000), 3
         ).violation
         == ""
     )
@@ -218,7 +222,7 @@
     [(Hasty, "parts are more than the whole", CALM), (Forgetful, "two views with the number", CALM)],
 )
 def test_a_planted_fault_is_found_and_its_trace_is_short(make, violation, bounds):
-    first = agreed(NAMES, EXACT_CLOCK_TERMS, make)
+    first = form_first_view(NAMES, EXACT_CLOCK_TERMS, make)
     found = walks(first, Bounds(states=100_000, crashes=0, restarts=0, forms=0), 1)
     assert found.violation.startswith(violation) and 2 <= len(found.trace) <= 20
     assert "proposes" in found.trace[0]
@@ -226,7 +230,7 @@
 
 def test_no_step_is_voted_for_before_the_last_one_counts():
     """Guards against two steps at once: whoever decides the second may never have granted for the view before both."""
-    fleet = agreed(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
+    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     a, b = fleet.alive["a"].me, fleet.alive["b"].me
     fleet = fleet.after(("proposes", "a", (a, b)))
     one = fleet.alive["b"].copy()
