--- a/tansykeel/cli/control_search.py
+++ b/tansykeel/cli/control_search.py
@@ -25,7 +25,7 @@
 
     Exit code 1 with the fewest events that show it, if gateways count more than there is or by a lease that ended.
     """
-    from tansykeel.cluster.model_checker import Bounds, search, walks
+    from tansykeel.cluster.model_checker import Bounds, random_runs, search
     from tansykeel.control.model_checker import ALIKE, APART
     from tansykeel.control.model_parts import ModelTerms
     from tansykeel.control.model_walks import drawn_runs, settled
@@ -36,7 +36,7 @@
     many = Bounds(ticks=30, proposals=5, crashes=2, restarts=5, forms=2, states=states)
     for how, look in (
         ("every order, deepest first", lambda: search(first, some, seed)),
-        ("drawn events", lambda: walks(first, many, seed, by_kind=True)),
+        ("drawn events", lambda: random_runs(first, many, seed, by_kind=True)),
         ("drawn rounds", lambda: drawn_runs(first, many, seed)),
     ):
         begun = time.monotonic()
--- a/tansykeel/cli/fleet.py
+++ b/tansykeel/cli/fleet.py
@@ -159,7 +159,7 @@
         EXACT_CLOCK_TERMS,
         Bounds,
         form_first_view,
-        walks,
+        random_runs,
     )
     from tansykeel.cluster.model_checker import search as every_order
     from tansykeel.cluster.view_agreement import ViewAgreement
@@ -180,7 +180,7 @@
     bounds = Bounds(ticks, proposals, crashes, restarts, forms, events, states)
     for how, found in (
         ("every order, deepest first", every_order(first, bounds, seed)),
-        ("drawn runs", walks(first, bounds, seed)),
+        ("drawn runs", random_runs(first, bounds, seed)),
     ):
         if found.violation:
             typer.echo(f"{how}: {found.violation}\n" + "\n".join(f"  {line}" for line in found.trace))
--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -235,7 +235,7 @@
     return SearchResult(len(seen), True)
 
 
-def walks(first: Fleet, bounds: Bounds, seed: int, steps: int = STEPS, by_kind: bool = False) -> SearchResult:
+def random_runs(first: Fleet, bounds: Bounds, seed: int, steps: int = STEPS, by_kind: bool = False) -> SearchResult:
     """Runs drawn by chance, for depths that a search of all states does not come to. What is on its way mostly arrives
     in some order, the rest late, again or never. `by_kind`: kinds of events are drawn evenly, however many of one."""
     chance, seen = random.Random(seed), 0
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -12,8 +12,8 @@
     Bounds,
     Fleet,
     form_first_view,
+    random_runs,
     search,
-    walks,
 )
 from tansykeel.cluster.replicated_log import ReplicatedLog
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
@@ -193,7 +193,7 @@
 def test_no_order_of_events_breaks_a_law():
     first = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     for seed in (1, 2):
-        assert walks(first, Bounds(states=8_000), seed).violation == ""
+        assert random_runs(first, Bounds(states=8_000), seed).violation == ""
     two = search(
         form_first_view(("a", "b"), EXACT_CLOCK_TERMS, ViewAgreement),
         Bounds(states=4_000, ticks=2, proposals=1, forms=0),
@@ -207,10 +207,10 @@
     alike = form_first_view(
         NAMES, LeaseTerms(lease=DRIFTING_CLOCK_TERMS.lease, drift=0.0), ViewAgreement, DRIFTING_CLOCK_RATES
     )
-    found = walks(alike, bounds, 5, by_kind=True)
+    found = random_runs(alike, bounds, 5, by_kind=True)
     assert found.violation.startswith("parts are more than the whole") and "a tick passes" in found.trace
     assert (
-        walks(
+        random_runs(
             form_first_view(NAMES, DRIFTING_CLOCK_TERMS, ViewAgreement, DRIFTING_CLOCK_RATES), Bounds(states=8_000), 3
         ).violation
         == ""
@@ -223,7 +223,7 @@
 )
 def test_a_planted_fault_is_found_and_its_trace_is_short(make, violation, bounds):
     first = form_first_view(NAMES, EXACT_CLOCK_TERMS, make)
-    found = walks(first, Bounds(states=100_000, crashes=0, restarts=0, forms=0), 1)
+    found = random_runs(first, Bounds(states=100_000, crashes=0, restarts=0, forms=0), 1)
     assert found.violation.startswith(violation) and 2 <= len(found.trace) <= 20
     assert "proposes" in found.trace[0]
 
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tansykeel.cluster.model_checker import Bounds, search, walks
+from tansykeel.cluster.model_checker import Bounds, random_runs, search
 from tansykeel.cluster.replicated_log import ZERO_BALLOT, InstallSnapshot, LogAccept, LogPrepare, Propose, ReplicatedLog
 from tansykeel.control.budget_agent import BudgetAgent
 from tansykeel.control.budget_state import BudgetState
@@ -88,7 +88,7 @@
     for found in (
         drawn_runs(first, Bounds(states=8_000, **ALL), 1),
         drawn_runs(first, Bounds(states=4_000, **RESTARTS), 2),
-        walks(first, Bounds(states=3_000, **ALL), 3, 150, by_kind=True),
+        random_runs(first, Bounds(states=3_000, **ALL), 3, 150, by_kind=True),
         search(settled(("a", "b"), ModelTerms()), Bounds(2, 1, 1, 1, 1, 6, 3_000), 4),
     ):
         assert found.violation == "" and found.states >= 3_000
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tansykeel.cluster.membership import Member, View
-from tansykeel.cluster.model_checker import Bounds, walks
+from tansykeel.cluster.model_checker import Bounds, random_runs
 from tansykeel.cluster.replicated_log import ReplicatedLog
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
 from tansykeel.maintenance.entries import Back, Leave, Lost, packed, unpacked
@@ -63,7 +63,7 @@
 
 def test_no_order_of_events_breaks_a_law():
     for seed in (1, 2):
-        found = walks(settled(NAMES, TERMS, ViewAgreement), Bounds(states=3_000, **ALL), seed, 150, by_kind=True)
+        found = random_runs(settled(NAMES, TERMS, ViewAgreement), Bounds(states=3_000, **ALL), seed, 150, by_kind=True)
         assert found.violation == "" and found.states >= 3_000
 
 
@@ -76,7 +76,9 @@
     ],
 )
 def test_a_planted_fault_is_found(kind, violation, bounds, step):
-    found = walks(settled(NAMES, TERMS, ViewAgreement, kind), Bounds(states=40_000, **bounds), 1, 150, by_kind=True)
+    found = random_runs(
+        settled(NAMES, TERMS, ViewAgreement, kind), Bounds(states=40_000, **bounds), 1, 150, by_kind=True
+    )
     assert found.violation.startswith(violation) and any(step in line for line in found.trace) and len(found.trace) < 50
 
 
