--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -228,7 +228,7 @@
         seen.add(key)
         if after.violation:
             events = [step for _, _, step in path if step] + [event]
-            return SearchResult(len(seen), False, after.violation, tuple(map(told, shrunk(first, events))))
+            return SearchResult(len(seen), False, after.violation, tuple(map(told, minimize_trace(first, events))))
         if len(seen) >= bounds.states:
             return SearchResult(len(seen), False)
         path.append((after, _drawn(after, bounds, chance), event))
@@ -255,7 +255,7 @@
             fleet, seen = after, seen + 1
             events.append(event)
             if fleet.violation:
-                return SearchResult(seen, False, fleet.violation, tuple(map(told, shrunk(first, events))))
+                return SearchResult(seen, False, fleet.violation, tuple(map(told, minimize_trace(first, events))))
     return SearchResult(seen, False)
 
 
@@ -277,7 +277,7 @@
     return False
 
 
-def shrunk(first: Fleet, events: list[Event]) -> list[Event]:
+def minimize_trace(first: Fleet, events: list[Event]) -> list[Event]:
     """The events without those that are not needed to break a law: halves, quarters, then single ones, over again."""
     size = max(len(events) // 2, 1)
     while True:
