--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -228,7 +228,9 @@
         seen.add(key)
         if after.violation:
             events = [step for _, _, step in path if step] + [event]
-            return SearchResult(len(seen), False, after.violation, tuple(map(told, minimize_trace(first, events))))
+            return SearchResult(
+                len(seen), False, after.violation, tuple(map(describe_event, minimize_trace(first, events)))
+            )
         if len(seen) >= bounds.states:
             return SearchResult(len(seen), False)
         path.append((after, _drawn(after, bounds, chance), event))
@@ -255,7 +257,9 @@
             fleet, seen = after, seen + 1
             events.append(event)
             if fleet.violation:
-                return SearchResult(seen, False, fleet.violation, tuple(map(told, minimize_trace(first, events))))
+                return SearchResult(
+                    seen, False, fleet.violation, tuple(map(describe_event, minimize_trace(first, events)))
+                )
     return SearchResult(seen, False)
 
 
@@ -293,7 +297,7 @@
         size = max(size // 2, 1)
 
 
-def told(event: Event) -> str:
+def describe_event(event: Event) -> str:
     """An event as a line of a trace."""
     kind, *what = event
     if kind == "tick":
--- a/tansykeel/control/model_walks.py
+++ b/tansykeel/control/model_walks.py
@@ -12,7 +12,7 @@
 from typing import cast
 
 from tansykeel.cluster.membership import Member, ViewMessage
-from tansykeel.cluster.model_checker import Bounds, Event, NoFirstView, SearchResult, minimize_trace, told
+from tansykeel.cluster.model_checker import Bounds, Event, NoFirstView, SearchResult, describe_event, minimize_trace
 from tansykeel.cluster.replicated_log import Propose
 from tansykeel.control.model_checker import ALIKE, GATEWAY, MOST, NODE, RegionModel
 from tansykeel.control.model_parts import REGION_UNITS, ModelTerms
@@ -220,5 +220,7 @@
         broken = run.go(steps)
         seen += len(run.events)
         if broken:
-            return SearchResult(seen, False, run.region.violation, tuple(map(told, minimize_trace(first, run.events))))
+            return SearchResult(
+                seen, False, run.region.violation, tuple(map(describe_event, minimize_trace(first, run.events)))
+            )
     return SearchResult(seen, False)
