--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -130,7 +130,7 @@
         """What was sent since the state before, and may arrive."""
         return [("arrives", *word) for word in self.sent if word not in before.sent]
 
-    def after(self, event: Event) -> Fleet | None:
+    def successor(self, event: Event) -> Fleet | None:
         """The state after an event; None where it can't happen here."""
         made = self.copy()
         return made if made._happens(event) else None
@@ -206,7 +206,7 @@
 
 
 def _must(fleet: Fleet, event: Event) -> Fleet:
-    after = fleet.after(event)
+    after = fleet.successor(event)
     assert after is not None
     return after
 
@@ -222,7 +222,7 @@
             path.pop()
             continue
         event = left.pop()
-        after = fleet.after(event)
+        after = fleet.successor(event)
         if after is None or (key := after.key()) in seen:
             continue
         seen.add(key)
@@ -250,7 +250,7 @@
                 choice = [event for event in choice if event[0] == kind]
             event = chance.choice(choice)
             fresh.pop(event, None)
-            after = fleet.after(event)
+            after = fleet.successor(event)
             if after is None:
                 continue
             fresh |= dict.fromkeys(after.arrivals(fleet))
@@ -272,7 +272,7 @@
 def breaks(first: Fleet, events: Iterable[Event]) -> bool:
     fleet = first
     for event in events:
-        after = fleet.after(event)
+        after = fleet.successor(event)
         if after is None:
             continue
         fleet = after
--- a/tansykeel/control/model_walks.py
+++ b/tansykeel/control/model_walks.py
@@ -45,7 +45,7 @@
     def happen(events: list[Event]) -> None:
         nonlocal region
         for event in events:
-            region = cast(RegionModel, region.after(event)) or region
+            region = cast(RegionModel, region.successor(event)) or region
 
     def all_arrive() -> None:
         for _ in range(6):
@@ -114,7 +114,7 @@
         if self.region.violation:
             return
         self.fresh.pop(event, None)
-        after = self.region.after(event)
+        after = self.region.successor(event)
         if after is None:
             return
         self.region = cast(RegionModel, after)
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -257,10 +257,10 @@
     def all_hear(events: list[Event]) -> None:
         nonlocal fleet
         for event in events:
-            fleet = fleet.after(event) or fleet
+            fleet = fleet.successor(event) or fleet
         for _ in range(4):
             for word in list(fleet.sent):
-                fleet = fleet.after(("arrives", *word)) or fleet
+                fleet = fleet.successor(("arrives", *word)) or fleet
 
     everyone: list[Event] = [("renews", name) for name in names]
     all_hear([("leads", names[0])])
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -44,31 +44,33 @@
     """All that lives renews and hears everything, again and again, but for links that are cut."""
     for _ in range(rounds):
         for name in list(fleet.alive):
-            fleet = fleet.after(("renews", name))
+            fleet = fleet.successor(("renews", name))
         heard = set()
         while new := [word for word in fleet.sent if word not in heard and {word[0], word[1].name} not in without]:
             for word in new:
                 heard.add(word)
                 if word[0] in fleet.alive:
-                    fleet = fleet.after(("arrives", *word))
-        fleet = fleet.after(("tick",))
+                    fleet = fleet.successor(("arrives", *word))
+        fleet = fleet.successor(("tick",))
     return fleet
 
 
 def test_a_first_view_needs_every_name_and_then_each_has_an_equal_part():
     fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     assert {one.part(fleet.now) for one in fleet.alive.values()} == {Fraction(1, 3)}
-    two = Fleet(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).after(("crashes", "c"))
+    two = Fleet(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).successor(("crashes", "c"))
     there = [one.me for one in two.alive.values()]
     assert two.alive["a"].form(0, there, 1) == [] and two.alive["a"].form(0, there, 1, ("b",)) == []
 
 
 def test_with_an_operator_s_word_a_view_forms_without_a_name_that_never_comes_and_takes_it_in_later():
-    fleet = settled(Fleet(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).after(("crashes", "c")).after(("forms", "a")))
+    fleet = settled(
+        Fleet(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).successor(("crashes", "c")).successor(("forms", "a"))
+    )
     assert {one.part(fleet.now) for one in fleet.alive.values()} == {SAFE / 3 + (1 - SAFE) / 2}
-    fleet = settled(fleet.after(("restarts", "c")))
+    fleet = settled(fleet.successor(("restarts", "c")))
     assert fleet.alive["c"].part(fleet.now) == SAFE / 3
-    fleet = settled(fleet.after(("proposes", "a", tuple(one.me for one in fleet.alive.values()))))
+    fleet = settled(fleet.successor(("proposes", "a", tuple(one.me for one in fleet.alive.values()))))
     assert {one.part(fleet.now) for one in fleet.alive.values()} == {Fraction(1, 3)}
 
 
@@ -90,24 +92,24 @@
     fleet = settled(form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement), *cut)
     fleet.__class__ = Alone
     assert fleet.violation == "" and not fleet.alive["a"].leased(fleet.now)
-    fleet = settled(fleet.after(("forms", "a")), *cut)
+    fleet = settled(fleet.successor(("forms", "a")), *cut)
     assert fleet.violation.startswith("parts are more than the whole")
 
 
 @pytest.mark.parametrize("dead", NAMES)
 def test_a_gateway_that_died_is_left_out_and_its_part_shared(dead):
-    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).after(("crashes", dead))
+    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).successor(("crashes", dead))
     others = tuple(one.me for one in fleet.alive.values())
-    fleet = settled(fleet.after(("proposes", others[0].name, others)))
+    fleet = settled(fleet.successor(("proposes", others[0].name, others)))
     assert {one.view.members for one in fleet.alive.values()} == {others}
     assert {one.part(fleet.now) for one in fleet.alive.values()} == {SAFE / 3 + (1 - SAFE) / 2}
 
 
 def test_a_life_that_comes_back_joins_as_another_member():
-    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).after(("restarts", "c"))
+    fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).successor(("restarts", "c"))
     assert fleet.alive["c"].part(fleet.now) == SAFE / 3
     members = (*(fleet.alive[name].me for name in "ab"), fleet.alive["c"].me)
-    fleet = settled(fleet.after(("proposes", "a", members)))
+    fleet = settled(fleet.successor(("proposes", "a", members)))
     assert fleet.alive["c"].view.members[2] == Member("c", 2)
     assert {one.part(fleet.now) for one in fleet.alive.values()} == {Fraction(1, 3)}
 
@@ -117,7 +119,7 @@
     cut = {"a", "c"}, {"b", "c"}
     fleet = settled(fleet, *cut)
     assert fleet.alive["c"].part(fleet.now) == SAFE / 3 and fleet.alive["a"].part(fleet.now) == Fraction(1, 3)
-    fleet = settled(fleet.after(("proposes", "a", (fleet.alive["a"].me, fleet.alive["b"].me))), *cut)
+    fleet = settled(fleet.successor(("proposes", "a", (fleet.alive["a"].me, fleet.alive["b"].me))), *cut)
     assert fleet.alive["a"].number > fleet.alive["c"].number
     fleet = settled(fleet)
     assert fleet.alive["c"].number == fleet.alive["a"].number and fleet.alive["c"].part(fleet.now) == SAFE / 3
@@ -125,11 +127,11 @@
 
 def test_two_of_three_lost_form_no_view_until_all_names_are_back():
     fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
-    fleet = fleet.after(("restarts", "b")).after(("restarts", "c"))
+    fleet = fleet.successor(("restarts", "b")).successor(("restarts", "c"))
     everyone = [one.me for one in fleet.alive.values()]
-    fleet = settled(fleet.after(("proposes", "a", everyone[:2])) or fleet)
+    fleet = settled(fleet.successor(("proposes", "a", everyone[:2])) or fleet)
     assert all(one.part(fleet.now) == SAFE / 3 for one in fleet.alive.values())
-    fleet = settled(fleet.after(("forms", "a")))
+    fleet = settled(fleet.successor(("forms", "a")))
     assert {one.part(fleet.now) for one in fleet.alive.values()} == {Fraction(1, 3)}
 
 
@@ -157,20 +159,20 @@
 
 
 def test_a_formed_view_whose_member_died_before_it_counted_is_formed_anew():
-    fleet = Fleet(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).after(("forms", "a"))
+    fleet = Fleet(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).successor(("forms", "a"))
     for _ in range(2):  # formed and answered, so a decides
         for word in list(fleet.sent):
-            fleet = fleet.after(("arrives", *word))
-    fleet = settled(fleet.after(("restarts", "c")))
+            fleet = fleet.successor(("arrives", *word))
+    fleet = settled(fleet.successor(("restarts", "c")))
     assert [fleet.alive[name].active for name in NAMES] == [False] * 3
-    fleet = settled(fleet.after(("forms", "b")))
+    fleet = settled(fleet.successor(("forms", "b")))
     assert {one.part(fleet.now) for one in fleet.alive.values()} == {Fraction(1, 3)}
 
 
 def test_a_word_of_an_older_epoch_is_refused_and_answered_with_the_newer_view():
     fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     a, b, c = (fleet.alive[name] for name in NAMES)
-    fleet = settled(fleet.after(("proposes", "a", (a.me, b.me))), {"a", "c"}, {"b", "c"})
+    fleet = settled(fleet.successor(("proposes", "a", (a.me, b.me))), {"a", "c"}, {"b", "c"})
     newer = fleet.alive["a"]
     old = Prepare(newer.number - 1, (9, "c"))
     assert newer.handle_message(fleet.now, c.me, old) == [("c", Decided(newer.view))]
@@ -232,7 +234,7 @@
     """Guards against two steps at once: whoever decides the second may never have granted for the view before both."""
     fleet = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement)
     a, b = fleet.alive["a"].me, fleet.alive["b"].me
-    fleet = fleet.after(("proposes", "a", (a, b)))
+    fleet = fleet.successor(("proposes", "a", (a, b)))
     one = fleet.alive["b"].copy()
     number = one.number
     assert one.handle_message(fleet.now, a, Prepare(number, (1, "a"))) != []
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -86,7 +86,7 @@
     for _ in range(4):
         for word in list(fleet.sent):
             if {word[0], word[1].name} not in cut:
-                fleet = fleet.after(("arrives", *word)) or fleet
+                fleet = fleet.successor(("arrives", *word)) or fleet
     return fleet
 
 
@@ -97,44 +97,46 @@
 @pytest.mark.parametrize("kind, broken", [(Books, False), (Deaf, True)])
 def test_a_leader_that_was_cut_off_can_start_nothing(kind, broken):
     """It holds leave that was given; the others form a new view, and an operator says that nothing is out."""
-    fleet = all_hear(settled(NAMES, TERMS, ViewAgreement, kind).after(("offers", "a", "x")))
+    fleet = all_hear(settled(NAMES, TERMS, ViewAgreement, kind).successor(("offers", "a", "x")))
     assert set(of(fleet, "a").out) == {"x"}
     cut = {"a", "b"}, {"a", "c"}
     a, b, c = (fleet.alive[name].me for name in NAMES)
-    fleet = all_hear(fleet.after(("proposes", "b", (b, c))), *cut)
+    fleet = all_hear(fleet.successor(("proposes", "b", (b, c))), *cut)
     for _ in range(4):  # grants of before run out, b and c are a view of their own
-        fleet = fleet.after(("tick",))
+        fleet = fleet.successor(("tick",))
         for name in ("b", "c"):
-            fleet = all_hear(fleet.after(("renews", name)), *cut)
-    fleet = all_hear(fleet.after(("leads", "b")), *cut)
+            fleet = all_hear(fleet.successor(("renews", name)), *cut)
+    fleet = all_hear(fleet.successor(("leads", "b")), *cut)
     assert fleet.ledgers["b"].leads and set(of(fleet, "b").out) == {"x"}
     # What stands in for an operator's word after a loss, or for x seen back by b alone: x is no longer out.
     book = fleet._own("b")
     book.machine.kept.out.clear()
     fleet._say("b", book.append_entry(0, packed(Leave("y", 1, "test", "b")))[1])
     fleet = all_hear(fleet, *cut)
-    ordered = fleet.after(("orders", "b", "y"))
-    fleet = ordered.after(("gets", next(iter(ordered.orders))))
+    ordered = fleet.successor(("orders", "b", "y"))
+    fleet = ordered.successor(("gets", next(iter(ordered.orders))))
     assert fleet.subjects["y"].out
-    late = fleet.after(("orders", "a", "x"))
+    late = fleet.successor(("orders", "a", "x"))
     if late is not None:
-        fleet = late.after(("gets", list(late.orders)[-1])) or late
+        fleet = late.successor(("gets", list(late.orders)[-1])) or late
     assert fleet.violation.startswith("more out") is broken
 
 
 def test_a_life_that_returned_empty_is_no_voter_of_before():
-    fleet = settled(NAMES, TERMS, ViewAgreement).after(("restarts", "b"))
-    fleet = all_hear(fleet.after(("offers", "a", "x")), {"a", "c"})
+    fleet = settled(NAMES, TERMS, ViewAgreement).successor(("restarts", "b"))
+    fleet = all_hear(fleet.successor(("offers", "a", "x")), {"a", "c"})
     assert of(fleet, "a").out == {}  # b's new life took it, and counts for nothing
     fleet = all_hear(fleet)
     assert set(of(fleet, "a").out) == {"x"}
 
 
 def test_an_answer_that_comes_too_late_starts_nothing():
-    fleet = all_hear(settled(NAMES, TERMS, ViewAgreement).after(("offers", "a", "x"))).after(("orders", "a", "x"))
+    fleet = all_hear(settled(NAMES, TERMS, ViewAgreement).successor(("offers", "a", "x"))).successor(
+        ("orders", "a", "x")
+    )
     order = next(iter(fleet.orders))
-    assert not fleet.after(("tick",)).after(("gets", order)).subjects["x"].out
-    assert fleet.after(("gets", order)).subjects["x"].out
+    assert not fleet.successor(("tick",)).successor(("gets", order)).subjects["x"].out
+    assert fleet.successor(("gets", order)).subjects["x"].out
     assert not fleet._obeys(replace(fleet.subjects["x"], boot=2), order)
 
 
