--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -133,9 +133,9 @@
     def successor(self, event: Event) -> Fleet | None:
         """The state after an event; None where it can't happen here."""
         made = self.copy()
-        return made if made._happens(event) else None
+        return made if made._apply(event) else None
 
-    def _happens(self, event: Event) -> bool:
+    def _apply(self, event: Event) -> bool:
         kind, *what = event
         if kind == "tick":
             self.now += 1
--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -134,7 +134,7 @@
                 found.append(("delivers", number, GATEWAY))
         return found
 
-    def _happens(self, event: Event) -> bool:
+    def _apply(self, event: Event) -> bool:
         self.recent = []
         kind, subject, *what = event if len(event) > 1 else (*event, "")
         if kind in ("tick", "restarts"):
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -97,7 +97,7 @@
 
     # Within
 
-    def _happens(self, event: Event) -> bool:
+    def _apply(self, event: Event) -> bool:
         kind, *what = event
         if kind in ("gets", "returns"):
             self._of_subject(kind, what[0])
@@ -111,7 +111,7 @@
             replicated_log = self._own(to)
             self._say(to, replicated_log.handle_message(self.clock(to), sender, word))
         else:
-            if not super()._happens(event):
+            if not super()._apply(event):
                 return False
             if kind == "renews" and (replicated_log := self._own(str(what[0]))).leader_state:
                 self._say(str(what[0]), replicated_log.tick(self.clock(str(what[0])), 0))
--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -77,14 +77,14 @@
 class Alone(Fleet):
     """An operator whose word is wrong: a forms a view without the others, which are there."""
 
-    def _happens(self, event):
+    def _apply(self, event):
         if event[0] == "forms":
             there, self.alive = self.alive, {event[1]: self.alive[event[1]]}
             try:
-                return super()._happens(event)
+                return super()._apply(event)
             finally:
                 self.alive = there | self.alive
-        return super()._happens(event)
+        return super()._apply(event)
 
 
 def test_a_wrong_word_on_who_is_gone_breaks_the_law_and_the_judge_names_it():
