--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -165,14 +165,14 @@
                 without = tuple(name for name in self.names if name not in self.alive)
                 told = one.form(now, [other.me for other in self.alive.values()], 10 * self.now + 1, without)
             self.sent |= dict.fromkeys((to, one.me, message) for to, message in told)
-        self._judge()
+        self._check_invariants()
         return True
 
     def _start(self, name: str) -> None:
         self.lives[name] += 1
         self.alive[name] = self.make(Member(name, self.lives[name]), self.names, self.terms, self.clock(name))
 
-    def _judge(self) -> None:
+    def _check_invariants(self) -> None:
         parts = {name: one.part(self.clock(name)) for name, one in self.alive.items()}
         if sum(parts.values(), Fraction(0)) > 1:
             self.violation = "parts are more than the whole: " + ", ".join(
--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -155,7 +155,7 @@
             return False
         else:
             happened = self._node_event(str(kind), str(subject), what, event)
-        self._judge()
+        self._check_invariants()
         return happened
 
     # Nodes
@@ -343,7 +343,7 @@
 
     # What must hold
 
-    def _judge(self) -> None:
+    def _check_invariants(self) -> None:
         counted = [one for name in self.gateways if (one := self.counted_by(name)) is not None]
         if sum(one.units for one in counted) > REGION_UNITS:
             self.violation = f"gateways count more than the region's units: {_told(counted)}"
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -116,7 +116,7 @@
             if kind == "renews" and (replicated_log := self._own(str(what[0]))).leader_state:
                 self._say(str(what[0]), replicated_log.tick(self.clock(str(what[0])), 0))
         self._carry()
-        self._judge()
+        self._check_invariants()
         return True
 
     def _start(self, name: str) -> None:
@@ -237,8 +237,8 @@
             and self.now - order.asked < PATIENCE
         )
 
-    def _judge(self) -> None:
-        super()._judge()
+    def _check_invariants(self) -> None:
+        super()._check_invariants()
         if (out := [name for name, subject in self.subjects.items() if subject.out]) and len(out) > 1:
             self.violation = f"more out than the bounds allow: {', '.join(out)}"
         for replicated_log in self.ledgers.values():
