--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -62,7 +62,7 @@
     ) -> None:
         self.names, self.terms, self.make, self.rates = names, terms, make, rates
         self.now = 0
-        self.lives = dict.fromkeys(names, 0)
+        self.incarnations = dict.fromkeys(names, 0)
         self.alive: dict[str, ViewAgreement] = {}
         self.sent: dict[tuple[str, Member, ViewMessage], None] = {}  # in the order in which they were first sent
         self.decided: dict[int, View] = {}
@@ -75,7 +75,7 @@
         made = object.__new__(type(self))
         made.names, made.terms, made.make, made.rates = self.names, self.terms, self.make, self.rates
         made.now, made.violation = self.now, self.violation
-        made.lives, made.sent, made.decided = dict(self.lives), dict(self.sent), dict(self.decided)
+        made.incarnations, made.sent, made.decided = dict(self.incarnations), dict(self.sent), dict(self.decided)
         made.alive, made.used = dict(self.alive), dict(self.used)  # an agreement is copied before it moves
         return made
 
@@ -89,7 +89,7 @@
             frozenset((name, one.key()) for name, one in self.alive.items()),
             frozenset(self.sent),
             tuple(self.used.values()),
-            tuple(self.lives.values()),
+            tuple(self.incarnations.values()),
         )
 
     def events(self, bounds: Bounds) -> list[Event]:
@@ -169,8 +169,8 @@
         return True
 
     def _start(self, name: str) -> None:
-        self.lives[name] += 1
-        self.alive[name] = self.make(Member(name, self.lives[name]), self.names, self.terms, self.clock(name))
+        self.incarnations[name] += 1
+        self.alive[name] = self.make(Member(name, self.incarnations[name]), self.names, self.terms, self.clock(name))
 
     def _check_invariants(self) -> None:
         parts = {name: one.part(self.clock(name)) for name, one in self.alive.items()}
--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -93,7 +93,7 @@
             frozenset(self.connections.values()),
             frozenset(self.sent),
             tuple(self.used.values()),
-            tuple(self.lives.values()),
+            tuple(self.incarnations.values()),
         )
 
     # What may happen
@@ -161,8 +161,8 @@
     # Nodes
 
     def _start(self, name: str) -> None:
-        self.lives[name] += 1
-        node = self.model.node(Member(name, self.lives[name]), self.names, self.clock(name))
+        self.incarnations[name] += 1
+        node = self.model.node(Member(name, self.incarnations[name]), self.names, self.clock(name))
         self._keep(node)
 
     def _keep(self, node: ModelNode) -> None:
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -23,7 +23,7 @@
     """A voter that returned empty counts as the one that it was."""
 
     def _start(self, name):
-        self.lives[name] = 0
+        self.incarnations[name] = 0
         super()._start(name)
 
 
