--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -66,7 +66,7 @@
         self.alive: dict[str, ViewAgreement] = {}
         self.sent: dict[tuple[str, Member, ViewMessage], None] = {}  # in the order in which they were first sent
         self.decided: dict[int, View] = {}
-        self.used = {"tick": 0, "propose": 0, "crash": 0, "restart": 0, "form": 0}
+        self.event_counts = {"tick": 0, "propose": 0, "crash": 0, "restart": 0, "form": 0}
         self.violation = ""
         for name in names:
             self._start(name)
@@ -76,7 +76,10 @@
         made.names, made.terms, made.make, made.rates = self.names, self.terms, self.make, self.rates
         made.now, made.violation = self.now, self.violation
         made.incarnations, made.sent, made.decided = dict(self.incarnations), dict(self.sent), dict(self.decided)
-        made.alive, made.used = dict(self.alive), dict(self.used)  # an agreement is copied before it moves
+        made.alive, made.event_counts = (
+            dict(self.alive),
+            dict(self.event_counts),
+        )  # an agreement is copied before it moves
         return made
 
     def clock(self, name: str) -> int:
@@ -88,14 +91,14 @@
             self.now,
             frozenset((name, one.key()) for name, one in self.alive.items()),
             frozenset(self.sent),
-            tuple(self.used.values()),
+            tuple(self.event_counts.values()),
             tuple(self.incarnations.values()),
         )
 
     def events(self, bounds: Bounds) -> list[Event]:
         """All that may happen next, in a fixed order."""
         free = {
-            name: self.used[name] < most
+            name: self.event_counts[name] < most
             for name, most in (
                 ("tick", bounds.ticks),
                 ("propose", bounds.proposals),
@@ -139,14 +142,14 @@
         kind, *what = event
         if kind == "tick":
             self.now += 1
-            self.used["tick"] += 1
+            self.event_counts["tick"] += 1
         elif kind == "restarts":
-            self.used["restart"] += 1
+            self.event_counts["restart"] += 1
             self._start(str(what[0]))
         elif str(what[0]) not in self.alive:
             return False
         elif kind == "crashes":
-            self.used["crash"] += 1
+            self.event_counts["crash"] += 1
             del self.alive[str(what[0])]
         else:
             one = self.alive[str(what[0])] = self.alive[str(what[0])].copy()
@@ -158,10 +161,10 @@
             elif kind == "renews":
                 told = one.renew(now)
             elif kind == "proposes":
-                self.used["propose"] += 1
+                self.event_counts["propose"] += 1
                 told = one.propose(now, what[1])  # type: ignore[arg-type]
             else:
-                self.used["form"] += 1
+                self.event_counts["form"] += 1
                 without = tuple(name for name in self.names if name not in self.alive)
                 told = one.form(now, [other.me for other in self.alive.values()], 10 * self.now + 1, without)
             self.sent |= dict.fromkeys((to, one.me, message) for to, message in told)
@@ -194,12 +197,12 @@
     fleet = kind(names, terms, make, rates)
     for _ in range(3):  # to form and follow; to end grants; to lease
         for name in names:
-            event: Event = ("forms", name) if not fleet.used["form"] else ("renews", name)
+            event: Event = ("forms", name) if not fleet.event_counts["form"] else ("renews", name)
             fleet = _must(fleet, event)
         for _ in range(4):
             for word in list(fleet.sent):
                 fleet = _must(fleet, ("arrives", *word))
-    fleet.sent, fleet.used = {}, dict.fromkeys(fleet.used, 0)
+    fleet.sent, fleet.event_counts = {}, dict.fromkeys(fleet.event_counts, 0)
     if any(not one.active or not one.leased(fleet.clock(one.me.name)) for one in fleet.alive.values()):
         raise NoFirstView(f"no first view among {names}: legal: terms under which one can be formed")
     return fleet
--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -66,7 +66,7 @@
         self.recent: list[Event] = []  # what was sent between nodes in the last event: also what was sent before
         self.opened = 0  # connections so far
         super().__init__(names, model.leases, ViewAgreement, rates)
-        self.used |= dict.fromkeys(MOST, 0)
+        self.event_counts |= dict.fromkeys(MOST, 0)
         for gateway in model.gateways:
             self._start_gateway(gateway, 1)
 
@@ -92,7 +92,7 @@
             frozenset((name, gateway.key()) for name, gateway in self.gateways.items()),
             frozenset(self.connections.values()),
             frozenset(self.sent),
-            tuple(self.used.values()),
+            tuple(self.event_counts.values()),
             tuple(self.incarnations.values()),
         )
 
@@ -101,7 +101,7 @@
     def events(self, bounds: Bounds) -> list[Event]:
         """Return all that may happen next, in a fixed order."""
         found = super().events(bounds)
-        free = {kind: self.used[kind] < most for kind, most in MOST.items()}
+        free = {kind: self.event_counts[kind] < most for kind, most in MOST.items()}
         for name, node in self.nodes.items():
             if free["lead"] and node.member.agreement.view is not None:
                 found.append(("leads", name))
@@ -138,7 +138,7 @@
         self.recent = []
         kind, subject, *what = event if len(event) > 1 else (*event, "")
         if kind in ("tick", "restarts"):
-            self.used[{"tick": "tick", "restarts": "restart"}[str(kind)]] += 1
+            self.event_counts[{"tick": "tick", "restarts": "restart"}[str(kind)]] += 1
             if kind == "tick":
                 self.now += 1
             else:
@@ -178,7 +178,7 @@
 
     def _node_event(self, kind: str, name: str, what: list[object], event: Event) -> bool:
         if kind == "crashes":
-            self.used["crash"] += 1
+            self.event_counts["crash"] += 1
             self._crash(name)
             return True
         node = self.nodes[name].copy()
@@ -190,7 +190,7 @@
         elif kind == "renews":
             actions = node.act(now, node.member.renew(now)) + node.tick(now, 0)
         elif kind == "leaves":
-            self.used["leave"] += 1
+            self.event_counts["leave"] += 1
             actions = node.leave(now)
         else:
             actions = node.act(now, self._member_step(kind, node, now, what))
@@ -200,15 +200,15 @@
 
     def _member_step(self, kind: str, node: ModelNode, now: int, what: list[object]) -> list[Sent]:
         if kind == "leads":
-            self.used["lead"] += 1
+            self.event_counts["lead"] += 1
             return list(node.member.lead(now))
         if kind == "proposes":
-            self.used["propose"] += 1
+            self.event_counts["propose"] += 1
             return list(node.member.propose(now, cast("tuple[Member, ...]", what[0])))
-        self.used["form"] += 1
+        self.event_counts["form"] += 1
         without = tuple(name for name in self.names if name not in self.alive)
         members = [other.me for other in self.alive.values()]
-        stamp = 1_000 * self.now + 50 * self.used["form"]  # views change less than once a millisecond
+        stamp = 1_000 * self.now + 50 * self.event_counts["form"]  # views change less than once a millisecond
         return list(node.member.form(now, members, stamp, without))
 
     def _do_node(self, node: ModelNode, actions: list[NodeAction]) -> None:
@@ -240,7 +240,7 @@
     def _gateway_event(self, kind: str, name: str, what: list[str]) -> bool:
         gateway = self.gateways[name]
         if kind == "reopens":
-            self.used["reopen"] += 1
+            self.event_counts["reopen"] += 1
             for connection in [one for one in self.connections.values() if one.gateway == name]:
                 self._put(connection.closed_at_gateway())
             self._start_gateway(name, gateway.incarnation + 1)
@@ -322,7 +322,7 @@
 
     def _break(self, connection: Connection, end: str) -> bool:
         """One end sees that the connection is lost; what was on its way to it is lost too."""
-        self.used["break"] += connection.node_open and connection.gateway_open
+        self.event_counts["break"] += connection.node_open and connection.gateway_open
         if end == NODE:
             if not connection.node_open:
                 return False
--- a/tansykeel/control/model_walks.py
+++ b/tansykeel/control/model_walks.py
@@ -80,7 +80,7 @@
         raise NoFirstView(
             f"no settled region of {names}: {region.violation or 'the gateways count less than its units'}"
         )
-    region.sent, region.used = late, dict.fromkeys(region.used, 0)
+    region.sent, region.event_counts = late, dict.fromkeys(region.event_counts, 0)
     return region
 
 
@@ -136,7 +136,7 @@
         self.step(self.chance.choice(choice))
 
     def _may(self, kind: str, most: int) -> bool:
-        return self.region.used[kind] < most
+        return self.region.event_counts[kind] < most
 
     def _drawn_nodes(self) -> list[str]:
         return [name for name in self.region.names if self.chance.random() < THERE]
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -59,7 +59,7 @@
         self.entries: dict[tuple[int, int], bytes] = {}  # by the last view that says that all was lost, and index
         self.lost_at: dict[tuple[str, int], int] = {}  # when who came to lead a view that lost all
         super().__init__(names, terms, make, rates)
-        self.used |= dict.fromkeys(MORE, 0)
+        self.event_counts |= dict.fromkeys(MORE, 0)
 
     def copy(self) -> Books:
         made = cast(Books, super().copy())
@@ -76,7 +76,7 @@
         )
 
     def events(self, bounds: Bounds) -> list[Event]:
-        free = {kind: self.used[kind] < most for kind, most in MORE.items()}
+        free = {kind: self.event_counts[kind] < most for kind, most in MORE.items()}
         found = super().events(bounds)
         for name, replicated_log in self.ledgers.items():
             if name not in self.alive:
@@ -183,14 +183,14 @@
     def _of_leader(self, kind: str, name: str, what: list[object]) -> bool:
         now, replicated_log = self.clock(name), self._own(name)
         if kind == "leads":
-            self.used["lead"] += 1
+            self.event_counts["lead"] += 1
             self._say(name, replicated_log.start_election(now))
             return True
         if replicated_log.leader_state is None or not replicated_log.leader_state.ready:
             return False
         subject = str(what[0]) if what else ""
         if kind == "offers":
-            self.used["offer"] += 1
+            self.event_counts["offer"] += 1
             self._offer(name, replicated_log, Leave(subject, self.subjects[subject].boot, "search", name))
         elif kind == "sees":
             if not self._seen_back(replicated_log, subject):
@@ -202,11 +202,11 @@
             since = self.lost_at.setdefault((name, replicated_log.view.number), self.now)
             if self._state(replicated_log).kept.known or self.now - since <= PATIENCE:
                 return not self._state(replicated_log).kept.known  # from now on time passes
-            self.used["recover"] += 1
+            self.event_counts["recover"] += 1
             out_now = tuple((one, "seen") for one, at in self.subjects.items() if at.out)
             self._offer(name, replicated_log, Recover(out_now, "operator"))
         else:
-            self.used["order"] += 1
+            self.event_counts["order"] += 1
             if not self._granted(replicated_log, subject) or not self._confirmed(replicated_log):
                 return False
             assert replicated_log.view is not None
@@ -220,7 +220,7 @@
     def _of_subject(self, kind: object, what: object) -> None:
         if kind == "returns":
             name = str(what)
-            self.used["return"] += 1
+            self.event_counts["return"] += 1
             self.subjects[name] = Subject(self.subjects[name].boot + 1, False, self.subjects[name].number)
             return
         assert isinstance(what, Order)
@@ -273,5 +273,5 @@
     made = cast(Books, fleet)
     if not all(made._state(replicated_log).kept.known for replicated_log in made.ledgers.values()):
         raise NoFirstView(f"no ledger among {names}: legal: terms under which one can be led")
-    made.sent, made.used = {}, dict.fromkeys(made.used, 0)
+    made.sent, made.event_counts = {}, dict.fromkeys(made.event_counts, 0)
     return made
