--- a/tests/cluster/test_view_agreement.py
+++ b/tests/cluster/test_view_agreement.py
@@ -26,9 +26,9 @@
 class Hasty(ViewAgreement):
     """Says that its grants are over while they still count."""
 
-    def _end_grants(self, now):
-        self.ends = now
-        return super()._end_grants(now)
+    def _revoke_grants(self, now):
+        self.earlier_grants_until = now
+        return super()._revoke_grants(now)
 
 
 class Forgetful(ViewAgreement):
@@ -36,7 +36,7 @@
 
     def _vote(self, message):
         answer = super()._vote(message)
-        self.accepted, self.next = NONE, None
+        self.accepted, self.accepted_view = NONE, None
         return answer
 
 
@@ -188,7 +188,7 @@
 def test_members_twice_and_none_are_refused_with_what_is_legal():
     one = form_first_view(NAMES, EXACT_CLOCK_TERMS, ViewAgreement).alive["a"]
     for members in ([], [Member("a", 1), Member("a", 2)]):
-        with pytest.raises(ValueError, match="legal: one life of each name"):
+        with pytest.raises(ValueError, match="only one incarnation of each name"):
             one.propose(9, members)
 
 
