--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -1,8 +1,8 @@
-"""Tries every order of events on a small fleet that agrees on views, and judges each state that comes of it.
+"""Model checker for the view agreement: explores orders of events on a small fleet and checks invariants. Without I/O.
 
-An explicit-state search as model checkers make it: a message that was sent may arrive at any later time, any number of
-times, or never; gateways crash, start again, propose and form views, while time goes on in ticks. States seen before
-are not gone into again. A broken law is cut down to the fewest events that still show it. Without I/O.
+An explicit-state search: a message that was sent may arrive at any later time, any number of times, or never; gateways
+crash, restart, propose and form views, while time advances in ticks. A state that was visited before is not explored
+again. The trace of a violated invariant is minimized: no event can be left out of it.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from tansykeel.errors import Problem
 
 AgreementFactory = Callable[[Member, tuple[str, ...], LeaseTerms, int], ViewAgreement]
-Event = tuple[object, ...]  # its name, then whom and what
-EXACT_CLOCK_TERMS = LeaseTerms(lease=2, drift=0.0)  # in ticks, by clocks that agree
-DRIFTING_CLOCK_TERMS = LeaseTerms(lease=20, drift=0.1)  # in tenths of a tick, by clocks that are off by as much
-DRIFTING_CLOCK_RATES = (11, 9)  # tenths that a fast and a slow clock show in a tick: of three gateways two are fast
-STEPS = 80  # events of a drawn run
-FRESH = 0.7  # part of the steps of a drawn run in which something arrives that had not yet
+Event = tuple[object, ...]  # the kind of event, the gateway, and further arguments by kind
+EXACT_CLOCK_TERMS = LeaseTerms(lease=2, drift=0.0)  # in ticks; all clocks run alike
+DRIFTING_CLOCK_TERMS = LeaseTerms(lease=20, drift=0.1)  # in tenths of a tick; clocks drift by up to a tenth
+DRIFTING_CLOCK_RATES = (11, 9)  # tenths per tick of a fast and a slow clock, assigned in turn; two of three are fast
+RUN_LENGTH = 80  # events of a random run
+NEW_ARRIVAL_PROBABILITY = 0.7  # that an event of a random run is a first arrival, if one is due
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How much of each may happen in one run, how many events a run has, and how many states are looked at."""
+    """Limits: on each kind of event in a run, on the events of a run in `search`, and on the states visited."""
 
     ticks: int = 6
     proposals: int = 2
@@ -40,7 +40,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """What a search saw. `whole`: its states did not run out; `trace`: the fewest events that break `law`."""
+    """The outcome of a search. `complete`: all states within the bounds were visited; `violation`: the violated
+    invariant, or empty; `trace`: the minimized events that lead to it."""
 
     states: int
     complete: bool
@@ -55,51 +56,56 @@
 
 
 class Fleet:
-    """A state: who lives, what was ever sent, what time it is, what was decided by anybody."""
+    """A state of the model: the running gateways, all messages sent so far, the time and all views ever adopted."""
 
     def __init__(
-        self, names: tuple[str, ...], terms: LeaseTerms, make: AgreementFactory, rates: tuple[int, ...] = (1,)
+        self, names: tuple[str, ...], terms: LeaseTerms, make_agreement: AgreementFactory, rates: tuple[int, ...] = (1,)
     ) -> None:
-        self.names, self.terms, self.make, self.rates = names, terms, make, rates
+        self.names, self.terms, self.make_agreement, self.rates = names, terms, make_agreement, rates
         self.now = 0
         self.incarnations = dict.fromkeys(names, 0)
         self.alive: dict[str, ViewAgreement] = {}
-        self.sent: dict[tuple[str, Member, ViewMessage], None] = {}  # in the order in which they were first sent
-        self.decided: dict[int, View] = {}
+        # Recipient, sender and message, in the order in which they were first sent.
+        self.sent: dict[tuple[str, Member, ViewMessage], None] = {}
+        self.decided: dict[int, View] = {}  # by number, as first adopted by any gateway
         self.event_counts = {"tick": 0, "propose": 0, "crash": 0, "restart": 0, "form": 0}
-        self.violation = ""
+        self.violation = ""  # the last invariant found violated
         for name in names:
             self._start(name)
 
     def copy(self) -> Fleet:
+        """Return a copy that shares the agreements; each is copied before it changes."""
         made = object.__new__(type(self))
-        made.names, made.terms, made.make, made.rates = self.names, self.terms, self.make, self.rates
+        made.names, made.terms, made.make_agreement, made.rates = (
+            self.names,
+            self.terms,
+            self.make_agreement,
+            self.rates,
+        )
         made.now, made.violation = self.now, self.violation
         made.incarnations, made.sent, made.decided = dict(self.incarnations), dict(self.sent), dict(self.decided)
-        made.alive, made.event_counts = (
-            dict(self.alive),
-            dict(self.event_counts),
-        )  # an agreement is copied before it moves
+        made.alive, made.event_counts = dict(self.alive), dict(self.event_counts)
         return made
 
     def clock(self, name: str) -> int:
-        """What a gateway's own clock shows; gateways have the rates by turns."""
+        """Return the time by a gateway's own clock; the rates are assigned to the names in turn."""
         return self.now * self.rates[self.names.index(name) % len(self.rates)]
 
     def key(self) -> tuple[object, ...]:
+        """Return everything that determines the future of the state, to recognize visited states."""
         return (
             self.now,
-            frozenset((name, one.key()) for name, one in self.alive.items()),
+            frozenset((name, agreement.key()) for name, agreement in self.alive.items()),
             frozenset(self.sent),
             tuple(self.event_counts.values()),
             tuple(self.incarnations.values()),
         )
 
     def events(self, bounds: Bounds) -> list[Event]:
-        """All that may happen next, in a fixed order."""
-        free = {
-            name: self.event_counts[name] < most
-            for name, most in (
+        """Return all events that are possible next, in a fixed order."""
+        allowed = {
+            name: self.event_counts[name] < limit
+            for name, limit in (
                 ("tick", bounds.ticks),
                 ("propose", bounds.proposals),
                 ("crash", bounds.crashes),
@@ -107,191 +113,215 @@
                 ("form", bounds.forms),
             )
         }
-        found: list[Event] = [("arrives", *word) for word in self.sent if word[0] in self.alive]
-        found += [("renews", name) for name in self.alive]
-        if free["tick"]:
-            found.append(("tick",))
-        for name, one in self.alive.items():
-            if free["propose"] and one.view:
-                there = {member.name: member for member in one.view.members}
-                leave = [tuple(m for m in one.view.members if m is not gone) for gone in one.view.members]
-                join = [
-                    (*(m for m in one.view.members if m.name != other.me.name), other.me)
+        possible: list[Event] = [("arrives", *delivery) for delivery in self.sent if delivery[0] in self.alive]
+        possible += [("renews", name) for name in self.alive]
+        if allowed["tick"]:
+            possible.append(("tick",))
+        for name, agreement in self.alive.items():
+            if allowed["propose"] and agreement.view:
+                current = {member.name: member for member in agreement.view.members}
+                leaves = [
+                    tuple(m for m in agreement.view.members if m is not leaving) for leaving in agreement.view.members
+                ]
+                joins = [
+                    (*(m for m in agreement.view.members if m.name != other.me.name), other.me)
                     for other in self.alive.values()
-                    if there.get(other.me.name) != other.me
+                    if current.get(other.me.name) != other.me
                 ]
-                found += [("proposes", name, members) for members in leave + join if members]
-            if free["form"]:  # without the dead, where an operator says that they are
-                found.append(("forms", name))
-            if free["crash"]:
-                found.append(("crashes", name))
-        if free["restart"]:
-            found += [("restarts", name) for name in self.names]
-        return found
+                possible += [("proposes", name, members) for members in leaves + joins if members]
+            if allowed["form"]:  # an operator excludes the gateways that are not running
+                possible.append(("forms", name))
+            if allowed["crash"]:
+                possible.append(("crashes", name))
+        if allowed["restart"]:
+            possible += [("restarts", name) for name in self.names]
+        return possible
 
     def arrivals(self, before: Fleet) -> list[Event]:
-        """What was sent since the state before, and may arrive."""
-        return [("arrives", *word) for word in self.sent if word not in before.sent]
+        """Return the arrivals of messages that were not yet sent in the state `before`."""
+        return [("arrives", *delivery) for delivery in self.sent if delivery not in before.sent]
 
     def successor(self, event: Event) -> Fleet | None:
-        """The state after an event; None where it can't happen here."""
+        """Return the state after an event, or None if it is not possible in this state."""
         made = self.copy()
         return made if made._apply(event) else None
 
     def _apply(self, event: Event) -> bool:
-        kind, *what = event
+        """Apply the event to this state; return False if it is not possible."""
+        kind, *arguments = event
         if kind == "tick":
             self.now += 1
             self.event_counts["tick"] += 1
         elif kind == "restarts":
             self.event_counts["restart"] += 1
-            self._start(str(what[0]))
-        elif str(what[0]) not in self.alive:
+            self._start(str(arguments[0]))
+        elif str(arguments[0]) not in self.alive:
             return False
         elif kind == "crashes":
             self.event_counts["crash"] += 1
-            del self.alive[str(what[0])]
+            del self.alive[str(arguments[0])]
         else:
-            one = self.alive[str(what[0])] = self.alive[str(what[0])].copy()
-            now = self.clock(one.me.name)
+            agreement = self.alive[str(arguments[0])] = self.alive[str(arguments[0])].copy()
+            now = self.clock(agreement.me.name)
             if kind == "arrives":
-                if tuple(what) not in self.sent:
+                if tuple(arguments) not in self.sent:
                     return False
-                told = one.handle_message(now, what[1], what[2])  # type: ignore[arg-type]
+                sent = agreement.handle_message(now, arguments[1], arguments[2])  # type: ignore[arg-type]
             elif kind == "renews":
-                told = one.renew(now)
+                sent = agreement.renew(now)
             elif kind == "proposes":
                 self.event_counts["propose"] += 1
-                told = one.propose(now, what[1])  # type: ignore[arg-type]
+                sent = agreement.propose(now, arguments[1])  # type: ignore[arg-type]
             else:
                 self.event_counts["form"] += 1
                 without = tuple(name for name in self.names if name not in self.alive)
-                told = one.form(now, [other.me for other in self.alive.values()], 10 * self.now + 1, without)
-            self.sent |= dict.fromkeys((to, one.me, message) for to, message in told)
+                sent = agreement.form(now, [other.me for other in self.alive.values()], 10 * self.now + 1, without)
+            self.sent |= dict.fromkeys((to, agreement.me, message) for to, message in sent)
         self._check_invariants()
         return True
 
     def _start(self, name: str) -> None:
+        """Start a gateway, or restart it as a new incarnation that remembers nothing."""
         self.incarnations[name] += 1
-        self.alive[name] = self.make(Member(name, self.incarnations[name]), self.names, self.terms, self.clock(name))
+        self.alive[name] = self.make_agreement(
+            Member(name, self.incarnations[name]), self.names, self.terms, self.clock(name)
+        )
 
     def _check_invariants(self) -> None:
-        parts = {name: one.part(self.clock(name)) for name, one in self.alive.items()}
+        """Parts add up to the whole at most, and a view number stands for one view."""
+        parts = {name: agreement.part(self.clock(name)) for name, agreement in self.alive.items()}
         if sum(parts.values(), Fraction(0)) > 1:
             self.violation = "parts are more than the whole: " + ", ".join(
                 f"{name} {part}" for name, part in parts.items()
             )
-        for one in self.alive.values():
-            if one.view and self.decided.setdefault(one.view.number, one.view) != one.view:
-                self.violation = f"two views with the number {one.view.number}"
+        for agreement in self.alive.values():
+            if agreement.view and self.decided.setdefault(agreement.view.number, agreement.view) != agreement.view:
+                self.violation = f"two views with the number {agreement.view.number}"
 
 
 def form_first_view(
     names: tuple[str, ...],
     terms: LeaseTerms,
-    make: AgreementFactory,
+    make_agreement: AgreementFactory,
     rates: tuple[int, ...] = (1,),
     kind: type[Fleet] = Fleet,
 ) -> Fleet:
-    """A fleet that formed its first view, made it active and holds leases on it."""
-    fleet = kind(names, terms, make, rates)
-    for _ in range(3):  # to form and follow; to end grants; to lease
+    """Return a fleet whose first view is formed and active, and on which all gateways hold leases.
+
+    Raises NoFirstView if the lease terms do not allow that.
+    """
+    fleet = kind(names, terms, make_agreement, rates)
+    for _ in range(3):  # form and adopt the view; revoke earlier grants; get leases
         for name in names:
             event: Event = ("forms", name) if not fleet.event_counts["form"] else ("renews", name)
-            fleet = _must(fleet, event)
+            fleet = _require_successor(fleet, event)
         for _ in range(4):
-            for word in list(fleet.sent):
-                fleet = _must(fleet, ("arrives", *word))
+            for delivery in list(fleet.sent):
+                fleet = _require_successor(fleet, ("arrives", *delivery))
     fleet.sent, fleet.event_counts = {}, dict.fromkeys(fleet.event_counts, 0)
-    if any(not one.active or not one.leased(fleet.clock(one.me.name)) for one in fleet.alive.values()):
-        raise NoFirstView(f"no first view among {names}: legal: terms under which one can be formed")
+    if any(
+        not agreement.active or not agreement.leased(fleet.clock(agreement.me.name))
+        for agreement in fleet.alive.values()
+    ):
+        raise NoFirstView(f"no first view among {names}: it is not active and leased everywhere under {terms}")
     return fleet
 
 
-def _must(fleet: Fleet, event: Event) -> Fleet:
-    after = fleet.successor(event)
-    assert after is not None
-    return after
+def _require_successor(fleet: Fleet, event: Event) -> Fleet:
+    successor = fleet.successor(event)
+    assert successor is not None
+    return successor
 
 
 def search(first: Fleet, bounds: Bounds, seed: int = 1) -> SearchResult:
-    """Go through the states within the bounds, deepest first and in an order drawn by `seed`, until a law breaks."""
-    chance = random.Random(seed)
-    seen = {first.key()}
-    path: list[tuple[Fleet, list[Event], Event | None]] = [(first, _drawn(first, bounds, chance), None)]
+    """Visit the states within the bounds depth-first, in an order drawn from `seed`, until an invariant is violated."""
+    rng = random.Random(seed)
+    visited = {first.key()}
+    path: list[tuple[Fleet, list[Event], Event | None]] = [(first, _shuffled_events(first, bounds, rng), None)]
     while path:
-        fleet, left, _ = path[-1]
-        if not left or len(path) > bounds.events:
+        fleet, remaining, _ = path[-1]
+        if not remaining or len(path) > bounds.events:
             path.pop()
             continue
-        event = left.pop()
-        after = fleet.successor(event)
-        if after is None or (key := after.key()) in seen:
+        event = remaining.pop()
+        successor = fleet.successor(event)
+        if successor is None or (key := successor.key()) in visited:
             continue
-        seen.add(key)
-        if after.violation:
+        visited.add(key)
+        if successor.violation:
             events = [step for _, _, step in path if step] + [event]
             return SearchResult(
-                len(seen), False, after.violation, tuple(map(describe_event, minimize_trace(first, events)))
+                len(visited), False, successor.violation, tuple(map(describe_event, minimize_trace(first, events)))
             )
-        if len(seen) >= bounds.states:
-            return SearchResult(len(seen), False)
-        path.append((after, _drawn(after, bounds, chance), event))
-    return SearchResult(len(seen), True)
-
-
-def random_runs(first: Fleet, bounds: Bounds, seed: int, steps: int = STEPS, by_kind: bool = False) -> SearchResult:
-    """Runs drawn by chance, for depths that a search of all states does not come to. What is on its way mostly arrives
-    in some order, the rest late, again or never. `by_kind`: kinds of events are drawn evenly, however many of one."""
-    chance, seen = random.Random(seed), 0
-    while seen < bounds.states:
-        fleet, events, fresh = first, list[Event](), dict[Event, None]()
+        if len(visited) >= bounds.states:
+            return SearchResult(len(visited), False)
+        path.append((successor, _shuffled_events(successor, bounds, rng), event))
+    return SearchResult(len(visited), True)
+
+
+def random_runs(
+    first: Fleet, bounds: Bounds, seed: int, steps: int = RUN_LENGTH, by_kind: bool = False
+) -> SearchResult:
+    """Draw random runs, which reach depths that a search of all states does not, until an invariant is violated.
+
+    New messages mostly arrive soon, in random order; the others arrive late, repeatedly or never. `by_kind`: draw the
+    kind of event first, each with the same probability, however many events of it are possible.
+    """
+    rng, visited = random.Random(seed), 0
+    while visited < bounds.states:
+        fleet, events, new_arrivals = first, list[Event](), dict[Event, None]()
         for _ in range(steps):
-            choice = list(fresh) if fresh and chance.random() < FRESH else fleet.events(bounds)
+            candidates = (
+                list(new_arrivals) if new_arrivals and rng.random() < NEW_ARRIVAL_PROBABILITY else fleet.events(bounds)
+            )
             if by_kind:
-                kind = chance.choice(list(dict.fromkeys(event[0] for event in choice)))
-                choice = [event for event in choice if event[0] == kind]
-            event = chance.choice(choice)
-            fresh.pop(event, None)
-            after = fleet.successor(event)
-            if after is None:
+                kind = rng.choice(list(dict.fromkeys(event[0] for event in candidates)))
+                candidates = [event for event in candidates if event[0] == kind]
+            event = rng.choice(candidates)
+            new_arrivals.pop(event, None)
+            successor = fleet.successor(event)
+            if successor is None:
                 continue
-            fresh |= dict.fromkeys(after.arrivals(fleet))
-            fleet, seen = after, seen + 1
+            new_arrivals |= dict.fromkeys(successor.arrivals(fleet))
+            fleet, visited = successor, visited + 1
             events.append(event)
             if fleet.violation:
                 return SearchResult(
-                    seen, False, fleet.violation, tuple(map(describe_event, minimize_trace(first, events)))
+                    visited, False, fleet.violation, tuple(map(describe_event, minimize_trace(first, events)))
                 )
-    return SearchResult(seen, False)
+    return SearchResult(visited, False)
 
 
-def _drawn(fleet: Fleet, bounds: Bounds, chance: random.Random) -> list[Event]:
+def _shuffled_events(fleet: Fleet, bounds: Bounds, rng: random.Random) -> list[Event]:
     events = fleet.events(bounds)
-    chance.shuffle(events)
+    rng.shuffle(events)
     return events
 
 
-def breaks(first: Fleet, events: Iterable[Event]) -> bool:
+def violates(first: Fleet, events: Iterable[Event]) -> bool:
+    """Return whether the events, leaving out those that are not possible, violate an invariant."""
     fleet = first
     for event in events:
-        after = fleet.successor(event)
-        if after is None:
+        successor = fleet.successor(event)
+        if successor is None:
             continue
-        fleet = after
+        fleet = successor
         if fleet.violation:
             return True
     return False
 
 
 def minimize_trace(first: Fleet, events: list[Event]) -> list[Event]:
-    """The events without those that are not needed to break a law: halves, quarters, then single ones, over again."""
+    """Return the events without those that are not needed for a violation.
+
+    Tries to leave out halves, then quarters, down to single events, until no single event can be left out.
+    """
     size = max(len(events) // 2, 1)
     while True:
         index, before = 0, len(events)
         while index < len(events):
             rest = events[:index] + events[index + size :]
-            if breaks(first, rest):
+            if violates(first, rest):
                 events = rest
             else:
                 index += size
@@ -301,24 +331,24 @@
 
 
 def describe_event(event: Event) -> str:
-    """An event as a line of a trace."""
-    kind, *what = event
+    """Return an event as a line of a trace."""
+    kind, *arguments = event
     if kind == "tick":
         return "a tick passes"
     if kind == "arrives":
-        to, sender, message = what
-        return f"{to} hears {_plain(message)} from {_plain(sender)}"
-    return " ".join([str(what[0]), str(kind), *map(_plain, what[1:])])
-
-
-def _plain(what: object) -> str:
-    if isinstance(what, Member):
-        return f"{what.name}{what.incarnation}"
-    if isinstance(what, tuple):
-        return "{" + ", ".join(map(_plain, what)) + "}"
-    if isinstance(what, View):
-        return f"view {what.number} {_plain(what.members)}"
-    fields = getattr(what, "__struct_fields__", None)
+        to, sender, message = arguments
+        return f"{to} receives {_describe_value(message)} from {_describe_value(sender)}"
+    return " ".join([str(arguments[0]), str(kind), *map(_describe_value, arguments[1:])])
+
+
+def _describe_value(value: object) -> str:
+    if isinstance(value, Member):
+        return f"{value.name}{value.incarnation}"
+    if isinstance(value, tuple):
+        return "{" + ", ".join(map(_describe_value, value)) + "}"
+    if isinstance(value, View):
+        return f"view {value.number} {_describe_value(value.members)}"
+    fields = getattr(value, "__struct_fields__", None)
     if fields:
-        return f"{type(what).__name__}({', '.join(_plain(getattr(what, name)) for name in fields)})"
-    return str(what)
+        return f"{type(value).__name__}({', '.join(_describe_value(getattr(value, name)) for name in fields)})"
+    return str(value)
