--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -223,7 +223,7 @@
         not agreement.active or not agreement.leased(fleet.clock(agreement.me.name))
         for agreement in fleet.alive.values()
     ):
-        raise NoFirstView(f"no first view among {names}: it is not active and leased everywhere under {terms}")
+        raise NoFirstView(f"no first view among {names}: it is not active and leased everywhere under these terms")
     return fleet
 
 
