--- a/tests/cli/test_fleet.py
+++ b/tests/cli/test_fleet.py
@@ -16,7 +16,7 @@
 
 
 def test_a_broken_law_ends_with_its_trace(monkeypatch):
-    monkeypatch.setattr(view_agreement.LeaseTerms, "granter_duration", lambda terms: 0)  # grants that bind nobody
+    monkeypatch.setattr(view_agreement.LeaseTerms, "granter_duration", lambda terms: 0)  # binds no granter
     told = CliRunner().invoke(
         app,
         ["fleet", "search", "--states", "30000", "--crashes", "0", "--restarts", "0", "--forms", "0", "--events", "3"],
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -1,4 +1,4 @@
-"""Orders of events on nodes, sessions and gateways: no law is broken, and each planted fault is found and cut down."""
+"""Event orders on nodes, sessions and gateways: no invariant is violated; each planted fault is found and minimized."""
 
 from __future__ import annotations
 
@@ -64,13 +64,13 @@
             record.version += 1
 
 
-class Forgetful(ReplicatedLog):
-    """A follower forgets what it promised, so two leaders may decide."""
+class ForgetsPromises(ReplicatedLog):
+    """A follower forgets the ballot it promised, so two leaders may commit different entries."""
 
-    def handle_message(self, now, sender, word):
-        if isinstance(word, LogPrepare | InstallSnapshot | LogAccept) and self.leader_state is None:
+    def handle_message(self, now, sender, message):
+        if isinstance(message, LogPrepare | InstallSnapshot | LogAccept) and self.leader_state is None:
             self.promised = ZERO_BALLOT
-        return super().handle_message(now, sender, word)
+        return super().handle_message(now, sender, message)
 
 
 def node_with(budget=BudgetAgent, state=BudgetState, log=ReplicatedLog):
@@ -83,7 +83,7 @@
     return ModelTerms(node_class=Node)
 
 
-def test_no_order_of_events_breaks_a_law():
+def test_no_event_order_violates_an_invariant():
     first = settled(NAMES, ModelTerms())
     for found in (
         drawn_runs(first, Bounds(states=8_000, **ALL), 1),
@@ -94,7 +94,7 @@
         assert found.violation == "" and found.states >= 3_000
 
 
-def test_no_order_of_events_breaks_a_law_where_clocks_are_apart():
+def test_no_event_order_violates_an_invariant_with_drifting_clocks():
     first = settled(NAMES, ModelTerms(drift=0.1), APART)
     found = drawn_runs(first, Bounds(states=6_000, **ALL), 1)
     assert found.violation == "" and found.states >= 6_000
@@ -107,7 +107,7 @@
         (node_with(Hasty), ALL, 5, "gateways count more than the region's units"),
         (node_with(SameTerm), ALL, 6, "gateways count more than the region's units"),
         (node_with(Impatient), RESTARTS, 1, "gateways count more than the region's units"),
-        (node_with(log=Forgetful), CALM, 6, "two entries decided"),
+        (node_with(log=ForgetsPromises), CALM, 6, "two entries decided"),
     ],
 )
 def test_a_planted_fault_is_found(model, bounds, seed, violation):
--- a/tests/emulator/test_control_simulation.py
+++ b/tests/emulator/test_control_simulation.py
@@ -48,7 +48,7 @@
         assert simulation.counted.by_region[region] > 0.8 * units
 
 
-def test_a_log_that_one_node_promised_to_a_view_that_never_came_is_led_again():
+def test_log_sealed_for_a_view_that_is_never_formed_gets_a_leader_again():
     simulation = ControlSimulation(replace(QUIET, seconds=60, settle_s=15))
     struck = simulation.nodes["control-0-0"]
     simulation.engine.after(20_000_000, lambda: struck.node.member.replicated_log.seal(simulation.engine.now // 1_000))
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -1,4 +1,4 @@
-"""Ledger and leave under drawn orders of events: no law is broken, and each planted fault is named."""
+"""Log and leave in random event orders: no invariant is violated, and each planted fault is found."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 CALM = dict(ticks=3, proposals=0, crashes=0, restarts=0, forms=0)
 
 
-class Remembered(Books):
-    """A voter that returned empty counts as the one that it was."""
+class SameIncarnation(Books):
+    """A voter that restarted without its state keeps its incarnation and so votes on what it forgot."""
 
     def _start(self, name):
         self.incarnations[name] = 0
@@ -61,7 +61,7 @@
         return not subject.out and order.boot == subject.boot
 
 
-def test_no_order_of_events_breaks_a_law():
+def test_no_event_order_violates_an_invariant():
     for seed in (1, 2):
         found = random_runs(settled(NAMES, TERMS, ViewAgreement), Bounds(states=3_000, **ALL), seed, 150, by_kind=True)
         assert found.violation == "" and found.states >= 3_000
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize(
     "kind, violation, bounds, step",
     [
-        (Remembered, "two entries decided", ALL, "restarts"),
+        (SameIncarnation, "two entries decided", ALL, "restarts"),
         (Timed, "more out than the bounds", CALM, "sees"),
         (Obedient, "more out than the bounds", CALM, "gets"),
     ],
@@ -122,10 +122,10 @@
     assert fleet.violation.startswith("more out") is broken
 
 
-def test_a_life_that_returned_empty_is_no_voter_of_before():
+def test_restarted_voter_is_not_counted_as_its_former_incarnation():
     fleet = settled(NAMES, TERMS, ViewAgreement).successor(("restarts", "b"))
     fleet = all_hear(fleet.successor(("offers", "a", "x")), {"a", "c"})
-    assert of(fleet, "a").out == {}  # b's new life took it, and counts for nothing
+    assert of(fleet, "a").out == {}  # b's new incarnation accepted the entry, but is no voter of the view
     fleet = all_hear(fleet)
     assert set(of(fleet, "a").out) == {"x"}
 
@@ -140,20 +140,20 @@
     assert not fleet._obeys(replace(fleet.subjects["x"], boot=2), order)
 
 
-def test_where_those_who_decided_a_view_are_gone_it_goes_on_by_an_operator_s_word_and_knows_nothing_for_sure():
+def test_log_recovers_from_lost_electors_only_by_an_operator_and_marks_the_state_as_lost():
     old, new = (tuple(Member(name, 1) for name in names) for names in ("pqr", "xyz"))
-    books = {member.name: ReplicatedLog(member, State(known=True), 2, 0) for member in new}
-
-    def hear(sent, sender):
-        for to, word in sent:
-            if to in books:
-                hear(books[to].handle_message(1, sender, word), books[to].me)
-
-    for book in books.values():
-        book.install_view(0, View(2, new, new, old))
-    x = books["x"]
-    hear(x.start_election(1), new[0])
-    assert not x.leads  # nobody who decided the view answers: something may have been decided that is not known here
-    hear(x.recover_without_electors(1), new[0])
-    assert x.leads and not any(book.machine.kept.known for book in books.values() if book.commit)
+    logs = {member.name: ReplicatedLog(member, State(known=True), 2, 0) for member in new}
+
+    def deliver(sent, sender):
+        for to, message in sent:
+            if to in logs:
+                deliver(logs[to].handle_message(1, sender, message), logs[to].me)
+
+    for log in logs.values():
+        log.install_view(0, View(2, new, new, old))
+    x = logs["x"]
+    deliver(x.start_election(1), new[0])
+    assert not x.leads  # no elector answers: entries may be committed that no voter of this view knows
+    deliver(x.recover_without_electors(1), new[0])
+    assert x.leads and not any(log.machine.kept.known for log in logs.values() if log.commit)
     assert x.commit == 1 and unpacked(x.entries[0]) == Lost(2)
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -41,11 +41,11 @@
 
 
 class LeadsAlone(ReplicatedLog):
-    """Leads by its own promise alone, and its followers forget what they promised."""
+    """Leads with its own promise alone, without a majority, and as a follower forgets what it promised."""
 
-    def handle_message(self, now, sender, word: LogMessage):
+    def handle_message(self, now, sender, message: LogMessage):
         self.promised = ZERO_BALLOT
-        return super().handle_message(now, sender, word)
+        return super().handle_message(now, sender, message)
 
     def tick(self, now: int, turn: int):
         sent = super().tick(now, 0)
