--- a/tansykeel/cluster/replicated_log.py
+++ b/tansykeel/cluster/replicated_log.py
@@ -100,7 +100,7 @@
 
 
 LogMessage = LogPrepare | LogPromise | InstallSnapshot | LogAccept | LogAccepted | LogRejected | Propose
-Outgoing = tuple[str, LogMessage]  # the name of the recipient, and the message
+OutgoingMessage = tuple[str, LogMessage]  # recipient and message
 
 
 class LeaderState:
@@ -196,7 +196,7 @@
         """Switch to a newly agreed view, without a leader at first."""
         self.view, self.leader_state, self.leader, self.leader_seen_at, self.skip_electors = view, None, "", now, False
 
-    def tick(self, now: int, turn: int) -> list[Outgoing]:
+    def tick(self, now: int, turn: int) -> list[OutgoingMessage]:
         """Start an election if no leader is heard of; as leader or candidate, send again what may be lost. `turn`: this
         gateway's position among the voters that seem alive; with a higher one it waits longer for an election."""
         if self.view is None or self.me not in self.view.voters:
@@ -209,7 +209,7 @@
         self.leader_seen_at = now
         return self._replicate(now) if self.leader_state.ready else self._send_prepares()
 
-    def start_election(self, now: int) -> list[Outgoing]:
+    def start_election(self, now: int) -> list[OutgoingMessage]:
         """Send Prepare under a new ballot to the voters of this view and of the previous one."""
         if self.view is None or self.me not in self.view.voters:
             return []
@@ -226,13 +226,13 @@
         could commit entries while all members take up the formed view."""
         self._promise(max(self.promised, (number, 0, "")))
 
-    def recover_without_electors(self, now: int) -> list[Outgoing]:
+    def recover_without_electors(self, now: int) -> list[OutgoingMessage]:
         """Let a majority of this view's voters elect a leader without the electors, the previous view's voters. An
         operator calls this where a majority of the electors, and what only they knew, is lost for good."""
         self.skip_electors = True
         return self._try_to_lead(now) if self.leader_state else self.start_election(now)
 
-    def append_entry(self, now: int, entry: bytes) -> tuple[bool, list[Outgoing]]:
+    def append_entry(self, now: int, entry: bytes) -> tuple[bool, list[OutgoingMessage]]:
         """Append an entry if this gateway leads and the entry is within the limits; return whether it was appended."""
         if (
             not self.leads
@@ -246,11 +246,11 @@
         self._update_commit()  # a single voter is a majority by itself
         return True, sent
 
-    def broadcast_commit(self, now: int) -> list[Outgoing]:
+    def broadcast_commit(self, now: int) -> list[OutgoingMessage]:
         """As leader, send the commit index to the voters now rather than with the next entry or tick."""
         return self._replicate(now) if self.leads else []
 
-    def handle_message(self, now: int, sender: Member, message: LogMessage) -> list[Outgoing]:
+    def handle_message(self, now: int, sender: Member, message: LogMessage) -> list[OutgoingMessage]:
         """Handle a message, which may be late or repeated; return the messages to send."""
         if isinstance(message, LogPrepare | InstallSnapshot | LogAccept) and message.ballot < self.promised:
             return [(sender.name, LogRejected(self.promised))]
@@ -313,13 +313,13 @@
         self._promise(ballot)
         return LogPromise(ballot, self.accepted, self.base, self.snapshot, tuple(self.entries), self.commit)
 
-    def _handle_promise(self, sender: Member, promise: LogPromise) -> list[Outgoing]:
+    def _handle_promise(self, sender: Member, promise: LogPromise) -> list[OutgoingMessage]:
         if self.leader_state is None or self.leader_state.ready or promise.ballot != self.leader_state.ballot:
             return []
         self.leader_state.promises[sender] = promise
         return self._try_to_lead(self.leader_seen_at)
 
-    def _try_to_lead(self, now: int) -> list[Outgoing]:
+    def _try_to_lead(self, now: int) -> list[OutgoingMessage]:
         """Adopt the log and lead once enough voters promised that no committed entry can be missing."""
         view, leader_state = self.view, self.leader_state
         if view is None or leader_state is None or leader_state.ready:
@@ -346,7 +346,7 @@
         self._update_commit()
         return sent
 
-    def _send_prepares(self) -> list[Outgoing]:
+    def _send_prepares(self) -> list[OutgoingMessage]:
         """Send Prepare to the voters and electors that have not promised yet."""
         assert self.view is not None and self.leader_state is not None
         recipients = dict.fromkeys((*self.view.voters, *self.view.electors))
@@ -356,11 +356,11 @@
             if member != self.me and member not in self.leader_state.promises
         ]
 
-    def _replicate(self, now: int) -> list[Outgoing]:
+    def _replicate(self, now: int) -> list[OutgoingMessage]:
         assert self.view is not None
         return [sent for voter in self.view.voters if voter != self.me for sent in self._replicate_to(now, voter)]
 
-    def _replicate_to(self, now: int, voter: Member) -> list[Outgoing]:
+    def _replicate_to(self, now: int, voter: Member) -> list[OutgoingMessage]:
         """Send what the voter is not known to have accepted; without new entries it is the leader's heartbeat."""
         leader_state = self.leader_state
         assert leader_state is not None
