--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -24,7 +24,7 @@
     Counts,
     Decisions,
     Final,
-    Held,
+    HeldTask,
     Intake,
     Memory,
     RowOf,
@@ -59,8 +59,8 @@
         self.stores: dict[str, Store] = {}
         self.addresses: dict[Store, str] = {}
         self.boots: dict[Store, int] = {}
-        self.held: dict[tuple[Any, Any], Held] = {}
-        self.coming: dict[int, deque[Held]] = {}  # by key, of ordered categories: not started, as they were taken
+        self.held: dict[tuple[Any, Any], HeldTask] = {}
+        self.coming: dict[int, deque[HeldTask]] = {}  # by key, of ordered categories: not started, as they were taken
         self.memory = Memory(bounds.body_memory, bounds.client_memory)
         self.counts = Counts()
         self.stopping = False
@@ -79,7 +79,7 @@
         if (client, id) in self.held:
             raise StillHeld(f"task {id}: one with this id is still held")
         asked = self.intake.asked(now, request)
-        held = Held(client, id, request, asked.task, 0, asked.body)
+        held = HeldTask(client, id, request, asked.task, 0, asked.body)
         asked.task.handle = held
         self.counts.taken += 1
         self.held[client, id] = held
@@ -224,7 +224,7 @@
         for held in [held for held in self.held.values() if not held.answered]:
             self._give_up(held, "the gateway ends")
 
-    def give_up(self, now: int, held: Held, reason: str) -> None:
+    def give_up(self, now: int, held: HeldTask, reason: str) -> None:
         """Answer one task now, as the module says for a task given up on."""
         self.runner.move(now)
         if not held.answered:
@@ -234,7 +234,7 @@
     # The module's door
 
     def hand_off(self, task: Task, store: Store, time_out: int) -> None:
-        held: Held = task.handle
+        held: HeldTask = task.handle
         now = self.runner.now
         until = min(now + time_out, task.deadline) if time_out > 0 else task.deadline
         attempt = Attempt(held, store, task.hand_offs - 1, now, until)
@@ -274,7 +274,7 @@
             self.addresses[store] = row.address
             self._booted(store, row.boot, row.age)
 
-    def _whole(self, held: Held) -> None:
+    def _whole(self, held: HeldTask) -> None:
         """All of a task is here. One of an ordered category waits for those of its key that were taken before it.
 
         Guards against a small body that overtakes a large one: the module orders tasks as they are started.
@@ -289,11 +289,11 @@
         if not line:
             self.coming.pop(held.task.key, None)
 
-    def _start(self, held: Held) -> None:
+    def _start(self, held: HeldTask) -> None:
         held.started = True
         self.runner.start(held.task, self.brain.serve(held.task))
 
-    def _body_late(self, held: Held) -> None:
+    def _body_late(self, held: HeldTask) -> None:
         if not held.started and not held.answered:
             self._give_up(held, "its body did not come in time")
 
@@ -311,7 +311,7 @@
         else:
             self.wire.withdraw(attempt)
 
-    def _give_up(self, held: Held, reason: str) -> None:
+    def _give_up(self, held: HeldTask, reason: str) -> None:
         """Answer a task outside of its generator. What is out for it is cancelled; nothing more is sent."""
         # Guards against a nack for a one-shot task whose hand-off is out: no outcome says yet that it never ran.
         held.task.may_have_run += [(attempt.store, attempt.sent) for attempt in held.out]
@@ -322,7 +322,7 @@
                 self.wire.cancel(attempt)
         self._let_go(held)
 
-    def _final(self, held: Held, want: Want, reason: str) -> None:
+    def _final(self, held: HeldTask, want: Want, reason: str) -> None:
         if held.answered:
             return
         if isinstance(want, Nack):
@@ -331,14 +331,14 @@
             self._answer(held, Final(BROKEN_OFF, reason=reason[:500]), [])
         self._let_go(held)
 
-    def _answer(self, held: Held, final: Final, body: list[bytes]) -> None:
+    def _answer(self, held: HeldTask, final: Final, body: list[bytes]) -> None:
         held.answered = True
         count = ("delivered", "nacked", "broken_off")[final.result]
         setattr(self.counts, count, getattr(self.counts, count) + 1)
         memory, held.memory = held.memory, 0
         self.wire.answer(held, final, body, partial(self.memory.free, held.client, memory))
 
-    def _let_go(self, held: Held) -> None:
+    def _let_go(self, held: HeldTask) -> None:
         """Forget a task that has its answer and nothing out."""
         if held.answered and not held.out and (held.client, held.id) in self.held:
             del self.held[held.client, held.id]
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -89,7 +89,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Held:
+class HeldTask:
     """One task from its taking to its answer, and to the outcome of its last hand-off."""
 
     client: Any
@@ -109,7 +109,7 @@
 class Attempt:
     """One hand-off on its way; `connection` is the wire's own."""
 
-    held: Held
+    held: HeldTask
     store: Store
     number: int
     sent: int
@@ -121,7 +121,7 @@
 class Wire(Protocol):
     """What the core needs of the sockets. None of these may call back into the core before it returns."""
 
-    def answer(self, held: Held, final: Final, body: list[bytes], sent: Callable[[], None]) -> None: ...
+    def answer(self, held: HeldTask, final: Final, body: list[bytes], sent: Callable[[], None]) -> None: ...
     def hand_off(self, attempt: Attempt) -> None: ...
     def cancel(self, attempt: Attempt) -> None: ...
     def withdraw(self, attempt: Attempt) -> None: ...  # cancel it only if nothing of it was sent
--- a/tansykeel/edge/trace.py
+++ b/tansykeel/edge/trace.py
@@ -14,7 +14,7 @@
 from opentelemetry.sdk.trace.export import BatchSpanProcessor, ConsoleSpanExporter
 from opentelemetry.sdk.trace.sampling import TraceIdRatioBased
 
-from tansykeel.edge.tasks import Attempt, Final, Held
+from tansykeel.edge.tasks import Attempt, Final, HeldTask
 
 MOST_OPEN = 50_000  # spans of tasks under way; beyond it new ones are not traced
 
@@ -30,7 +30,7 @@
         exporter = ConsoleSpanExporter(out=self._out, formatter=lambda span: span.to_json(indent=None) + "\n")
         self._provider.add_span_processor(BatchSpanProcessor(exporter))
         self._tracer = self._provider.get_tracer("tansykeel.edge")
-        self._open: dict[Held, trace.Span] = {}
+        self._open: dict[HeldTask, trace.Span] = {}
 
     def handed_off(self, attempt: Attempt) -> None:
         """The task's span begins where it was taken, known once it is first handed off; each hand-off is an event."""
@@ -38,7 +38,7 @@
         span = self._open.get(held) or self._begin(held, attempt.sent)
         span.add_event("handed off", {"store": str(attempt.store.handle), "number": attempt.number})
 
-    def answered(self, held: Held, final: Final) -> None:
+    def answered(self, held: HeldTask, final: Final) -> None:
         span = self._open.pop(held, None) or self._begin(held, held.task.arrived)
         self._open.pop(held, None)
         span.set_attribute("result", ("delivered", "nacked", "broken off")[final.result])
@@ -48,7 +48,7 @@
         self._provider.shutdown()
         self._out.close()
 
-    def _begin(self, held: Held, now: int) -> trace.Span:
+    def _begin(self, held: HeldTask, now: int) -> trace.Span:
         request = held.request
         age = max(now - held.task.arrived, 0) * 100_000
         span = self._tracer.start_span(
--- a/tansykeel/platform/request_rules.py
+++ b/tansykeel/platform/request_rules.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from tansykeel.edge.tasks import Attempt, Held
+from tansykeel.edge.tasks import Attempt, HeldTask
 from tansykeel.interface import Allowed, Repeat, State
 
 OVERDUE = 1_000  # tenths after a task's deadline (which is up to 0.1 s before its client's) at which it must be over
@@ -61,7 +61,7 @@
     return None
 
 
-def is_overdue(held: Held, now: int) -> bool:
+def is_overdue(held: HeldTask, now: int) -> bool:
     """Whether a task should have had its answer by now."""
     return not held.answered and now > held.task.deadline + OVERDUE
 
