--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -23,7 +23,7 @@
     Bounds,
     Counts,
     Decisions,
-    Final,
+    FinalAnswer,
     HeldTask,
     Intake,
     Memory,
@@ -149,7 +149,7 @@
         held.last_outcome = how.value
         self.counts.outcomes[how.value] = self.counts.outcomes.get(how.value, 0) + 1
         if how is How.DELIVERED and not held.answered:
-            self._answer(held, Final(DELIVERED, 0, shard if shard >= 0 else attempt.store.shard), body or [])
+            self._answer(held, FinalAnswer(DELIVERED, 0, shard if shard >= 0 else attempt.store.shard), body or [])
         told = Outcome(
             how,
             lag,
@@ -326,12 +326,12 @@
         if held.answered:
             return
         if isinstance(want, Nack):
-            self._answer(held, Final(NACKED, want.come_back, reason=reason[:500]), [])
+            self._answer(held, FinalAnswer(NACKED, want.come_back, reason=reason[:500]), [])
         else:
-            self._answer(held, Final(BROKEN_OFF, reason=reason[:500]), [])
+            self._answer(held, FinalAnswer(BROKEN_OFF, reason=reason[:500]), [])
         self._let_go(held)
 
-    def _answer(self, held: HeldTask, final: Final, body: list[bytes]) -> None:
+    def _answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes]) -> None:
         held.answered = True
         count = ("delivered", "nacked", "broken_off")[final.result]
         setattr(self.counts, count, getattr(self.counts, count) + 1)
--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any
 
-from tansykeel.edge.tasks import MICROS, MS, Asked, Attempt, Bounds, Final
+from tansykeel.edge.tasks import MICROS, MS, Asked, Attempt, Bounds, FinalAnswer
 from tansykeel.interface import Facts, Plan, Task, Volume, Word
 from tansykeel.protocol.frames import Answer, HandOffOf, Row, Share, TaskOf
 from tansykeel.settings.records import Gateway, Settings
@@ -74,7 +74,7 @@
     return [Row(row.name, row.address, row.zone, row.shard, "ready") for row in settings.stores]
 
 
-def answer_of(final: Final, body: list[bytes]) -> Answer:
+def answer_of(final: FinalAnswer, body: list[bytes]) -> Answer:
     return Answer(final.result, final.come_back * MICROS, final.shard, final.reason, sum(map(len, body)))
 
 
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -23,7 +23,7 @@
 from tansykeel.edge.native import Native, answer_of, bounds_of, known_of
 from tansykeel.edge.peers import Peers
 from tansykeel.edge.stores import Stores
-from tansykeel.edge.tasks import DELIVERED, Attempt, Decisions, Final, HeldTask, StillHeld
+from tansykeel.edge.tasks import DELIVERED, Attempt, Decisions, FinalAnswer, HeldTask, StillHeld
 from tansykeel.edge.trace import Trace
 from tansykeel.interface import Facts, Parts, Word
 from tansykeel.maintenance.messages import CODEC, Figures, MaintenanceMessage, MessageError
@@ -202,7 +202,7 @@
 
     # Wire: what the core wants done
 
-    def answer(self, held: HeldTask, final: Final, body: list[bytes], sent: Callable[[], None]) -> None:
+    def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
         link: Link = held.client
         self._count(held, final)
         link.send(held.id, answer_of(final, body))
@@ -316,7 +316,7 @@
             case Goodbye():
                 link.close()  # it ends, and would not take what is said to it any more
 
-    def _count(self, held: HeldTask, final: Final) -> None:
+    def _count(self, held: HeldTask, final: FinalAnswer) -> None:
         """For the comparison of versions: what a limit refuses tells of its volume, and of no version."""
         if held.task.volume.plan.limit:
             return
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Final:
+class FinalAnswer:
     """A task's one answer. `result`: delivered 0, nacked 1, broken off 2; `come_back` in tenths, 0: not said."""
 
     result: int
@@ -121,7 +121,7 @@
 class Wire(Protocol):
     """What the core needs of the sockets. None of these may call back into the core before it returns."""
 
-    def answer(self, held: HeldTask, final: Final, body: list[bytes], sent: Callable[[], None]) -> None: ...
+    def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None: ...
     def hand_off(self, attempt: Attempt) -> None: ...
     def cancel(self, attempt: Attempt) -> None: ...
     def withdraw(self, attempt: Attempt) -> None: ...  # cancel it only if nothing of it was sent
--- a/tansykeel/edge/trace.py
+++ b/tansykeel/edge/trace.py
@@ -14,7 +14,7 @@
 from opentelemetry.sdk.trace.export import BatchSpanProcessor, ConsoleSpanExporter
 from opentelemetry.sdk.trace.sampling import TraceIdRatioBased
 
-from tansykeel.edge.tasks import Attempt, Final, HeldTask
+from tansykeel.edge.tasks import Attempt, FinalAnswer, HeldTask
 
 MOST_OPEN = 50_000  # spans of tasks under way; beyond it new ones are not traced
 
@@ -38,7 +38,7 @@
         span = self._open.get(held) or self._begin(held, attempt.sent)
         span.add_event("handed off", {"store": str(attempt.store.handle), "number": attempt.number})
 
-    def answered(self, held: HeldTask, final: Final) -> None:
+    def answered(self, held: HeldTask, final: FinalAnswer) -> None:
         span = self._open.pop(held, None) or self._begin(held, held.task.arrived)
         self._open.pop(held, None)
         span.set_attribute("result", ("delivered", "nacked", "broken off")[final.result])
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -15,7 +15,7 @@
 from tansykeel.cluster.messages import CODEC
 from tansykeel.edge.core import Core
 from tansykeel.edge.native import Native, answer_of, bounds_of, hand_off_of, known_of
-from tansykeel.edge.tasks import Attempt, Final, HeldTask
+from tansykeel.edge.tasks import Attempt, FinalAnswer, HeldTask
 from tansykeel.emulator.scene import Scene
 from tansykeel.emulator.ways import Conn, GatewayEnd, Line, StoreEnd
 from tansykeel.interface import How, Word
@@ -143,7 +143,7 @@
 
     # Wire: what the core wants done
 
-    def answer(self, held: HeldTask, final: Final, body: list[bytes], sent: Callable[[], None]) -> None:
+    def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
         sent()
         self.scene.clients.answer_on_its_way(self, held.id, answer_of(final, body))
 
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -16,7 +16,7 @@
 
 from tansykeel.edge.clock import TENTHS_PER_SECOND, Reminder, clock
 from tansykeel.edge.core import Core
-from tansykeel.edge.tasks import DELIVERED, NACKED, Attempt, Bounds, Final, HeldTask
+from tansykeel.edge.tasks import DELIVERED, NACKED, Attempt, Bounds, FinalAnswer, HeldTask
 from tansykeel.http1 import codec
 from tansykeel.http1.codec import Malformed, Request
 from tansykeel.interface import Word
@@ -267,7 +267,7 @@
 
     # Wire: what the core wants done
 
-    def answer(self, held: HeldTask, final: Final, body: list[bytes], sent: Callable[[], None]) -> None:
+    def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
         client: Client = held.client
         sent()
         if self.open.pop(held.id, None) is None:
