--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any
 
-from tansykeel.edge.tasks import MICROS, MS, Asked, Attempt, Bounds, FinalAnswer
+from tansykeel.edge.tasks import MICROS, MS, Attempt, Bounds, FinalAnswer, ParsedRequest
 from tansykeel.interface import Facts, Plan, Task, Volume, Word
 from tansykeel.protocol.frames import Answer, HandOffOf, Row, Share, TaskOf
 from tansykeel.settings.records import Gateway, Settings
@@ -23,7 +23,7 @@
             for volume in settings.volumes
         }
 
-    def asked(self, now: int, request: Any) -> Asked:
+    def asked(self, now: int, request: Any) -> ParsedRequest:
         """The task as the module will see it, and what is wrong with it, if something is."""
         assert isinstance(request, TaskOf)
         volume, category = self.volumes.get(request.volume), self.categories.get(request.category)
@@ -54,7 +54,7 @@
             now + patience - spare,
             request.again,
         )
-        return Asked(task, request.body, request.size, fault)
+        return ParsedRequest(task, request.body, request.size, fault)
 
     def word_of(self, share: Share) -> Word | None:
         """Another gateway's word; None for one on a volume that is not in the settings here: not acted on."""
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ParsedRequest:
     """A client's request as the module will see it, by the protocol's front."""
 
     task: Task
@@ -85,7 +85,7 @@
 class Intake(Protocol):
     """Reads what a protocol's clients ask for."""
 
-    def asked(self, now: int, request: Any) -> Asked: ...
+    def asked(self, now: int, request: Any) -> ParsedRequest: ...
 
 
 @dataclass(eq=False, slots=True)
--- a/tansykeel/platform/intake.py
+++ b/tansykeel/platform/intake.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tansykeel.edge.tasks import Asked
+from tansykeel.edge.tasks import ParsedRequest
 from tansykeel.http1.codec import Malformed, Request
 from tansykeel.interface import Category, Facts, Plan, Task, Volume
 from tansykeel.settings.facts import TENTH
@@ -85,7 +85,7 @@
             fields.get(b"x-resent") == b"1",
         )
 
-    def asked(self, now: int, request: Any) -> Asked:
+    def asked(self, now: int, request: Any) -> ParsedRequest:
         assert isinstance(request, Wanted)
         name = request.volume, request.plan.name
         volume = self.volumes.get(name)
@@ -110,4 +110,4 @@
             received_at + patience - min(SPARE, patience // 2),
             request.again,
         )
-        return Asked(task, 0, len(request.request.body))
+        return ParsedRequest(task, 0, len(request.request.body))
