--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -78,7 +78,7 @@
         now = self.runner.now
         if (client, id) in self.held:
             raise StillHeld(f"task {id}: one with this id is still held")
-        asked = self.intake.asked(now, request)
+        asked = self.intake.parse(now, request)
         held = HeldTask(client, id, request, asked.task, 0, asked.body)
         asked.task.handle = held
         self.counts.taken += 1
--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -23,7 +23,7 @@
             for volume in settings.volumes
         }
 
-    def asked(self, now: int, request: Any) -> ParsedRequest:
+    def parse(self, now: int, request: Any) -> ParsedRequest:
         """The task as the module will see it, and what is wrong with it, if something is."""
         assert isinstance(request, TaskOf)
         volume, category = self.volumes.get(request.volume), self.categories.get(request.category)
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -85,7 +85,7 @@
 class Intake(Protocol):
     """Reads what a protocol's clients ask for."""
 
-    def asked(self, now: int, request: Any) -> ParsedRequest: ...
+    def parse(self, now: int, request: Any) -> ParsedRequest: ...
 
 
 @dataclass(eq=False, slots=True)
--- a/tansykeel/platform/intake.py
+++ b/tansykeel/platform/intake.py
@@ -85,7 +85,7 @@
             fields.get(b"x-resent") == b"1",
         )
 
-    def asked(self, now: int, request: Any) -> ParsedRequest:
+    def parse(self, now: int, request: Any) -> ParsedRequest:
         assert isinstance(request, Wanted)
         name = request.volume, request.plan.name
         volume = self.volumes.get(name)
