--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -1,6 +1,6 @@
 """What a gateway holds and owes, without I/O: the module's door, every task's memory, time-outs and one answer.
 
-Told of whatever comes in by a program (or by an emulator), it tells the module, and acts through a `Wire`. What a
+Told of whatever comes in by a program (or by an emulator), it tells the module, and acts through a `GatewayIO`. What a
 protocol says of a task is read by its `Intake`; the core knows no protocol. It decides nothing about routing, waiting
 or refusing: tasks that can't be held (no memory, stopping, bad names) are answered as `Scheduler.final` says. Times
 are whole tenths of a millisecond of one monotonic clock.
@@ -24,13 +24,13 @@
     Counts,
     Decisions,
     FinalAnswer,
+    GatewayIO,
     HeldTask,
     Intake,
     Memory,
     RowOf,
     StillHeld,
     UpdateOf,
-    Wire,
 )
 from tansykeel.interface import BreakOff, Facts, How, Nack, Outcome, Parts, State, Store, Task, Want, Word
 from tansykeel.runner import Runner
@@ -46,7 +46,7 @@
         self,
         facts: Facts,
         seed: int,
-        wire: Wire,
+        wire: GatewayIO,
         now: int,
         bounds: Bounds,
         intake: Intake,
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -200,7 +200,7 @@
         self.log.info("stopped", left_unanswered=sum(not held.answered for held in self.core.held.values()))
         return EXIT_FAILED if self.failed else 0
 
-    # Wire: what the core wants done
+    # GatewayIO: what the core wants done
 
     def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
         link: Link = held.client
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -118,7 +118,7 @@
     over: bool = False
 
 
-class Wire(Protocol):
+class GatewayIO(Protocol):
     """What the core needs of the sockets. None of these may call back into the core before it returns."""
 
     def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None: ...
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -141,7 +141,7 @@
         if word := self.native.word_of(share):
             self.core.heard(self.clock(), share.sender, word)
 
-    # Wire: what the core wants done
+    # GatewayIO: what the core wants done
 
     def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
         sent()
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -52,7 +52,7 @@
 
 
 class Gateway:
-    """The core's wire, and what clients' requests come to."""
+    """The core's I/O, and what clients' requests come to."""
 
     def __init__(self, path: str, config: Config) -> None:
         self.path, self.config = path, config
@@ -265,7 +265,7 @@
         last = self._ends_with_answer(client, wanted.request)
         client.answer(codec.answer(500, last=last), last)
 
-    # Wire: what the core wants done
+    # GatewayIO: what the core wants done
 
     def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
         client: Client = held.client
