--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -46,7 +46,7 @@
         self,
         facts: Facts,
         seed: int,
-        wire: GatewayIO,
+        io: GatewayIO,
         now: int,
         bounds: Bounds,
         intake: Intake,
@@ -54,7 +54,7 @@
         decide: Callable[[Facts, int, Runner], Decisions] = Scheduler,
         parts: Parts | None = None,
     ) -> None:
-        self.facts, self.wire, self.bounds, self.intake = facts, wire, bounds, intake
+        self.facts, self.io, self.bounds, self.intake = facts, io, bounds, intake
         self.runner = Runner(self, now, parts)
         self.stores: dict[str, Store] = {}
         self.addresses: dict[Store, str] = {}
@@ -241,7 +241,7 @@
         held.out.append(attempt)
         self.counts.hand_offs += 1
         self.runner.alarm(until, partial(self._timed_out, attempt))
-        self.wire.hand_off(attempt)
+        self.io.hand_off(attempt)
 
     def nack(self, task: Task, come_back: int) -> None:
         self._final(task.handle, Nack(come_back), "")
@@ -250,16 +250,16 @@
         self._final(task.handle, BreakOff(), "")
 
     def remind(self, at: int) -> None:
-        self.wire.remind(at)
+        self.io.remind(at)
 
     def watch(self) -> None:
-        self.wire.ask_list()
+        self.io.ask_list()
 
     def tell(self, peer: int | None, word: Word) -> None:
-        self.wire.tell_peer(peer, word)
+        self.io.tell_peer(peer, word)
 
     def note(self, text: str) -> None:
-        self.wire.note("module", text=text)
+        self.io.note("module", text=text)
 
     # Within
 
@@ -307,9 +307,9 @@
         """Guards against an attempt that begins though nobody waits for it, also where none may be cancelled: one
         that waits for its connection has not begun."""
         if self.facts.allowed.cancel:
-            self.wire.cancel(attempt)
+            self.io.cancel(attempt)
         else:
-            self.wire.withdraw(attempt)
+            self.io.withdraw(attempt)
 
     def _give_up(self, held: HeldTask, reason: str) -> None:
         """Answer a task outside of its generator. What is out for it is cancelled; nothing more is sent."""
@@ -319,7 +319,7 @@
         self._final(held, want, reason)
         if held.started and not self.runner.left(held.task):
             for attempt in held.out:
-                self.wire.cancel(attempt)
+                self.io.cancel(attempt)
         self._let_go(held)
 
     def _final(self, held: HeldTask, want: Want, reason: str) -> None:
@@ -336,7 +336,7 @@
         count = ("delivered", "nacked", "broken_off")[final.result]
         setattr(self.counts, count, getattr(self.counts, count) + 1)
         memory, held.memory = held.memory, 0
-        self.wire.answer(held, final, body, partial(self.memory.free, held.client, memory))
+        self.io.answer(held, final, body, partial(self.memory.free, held.client, memory))
 
     def _let_go(self, held: HeldTask) -> None:
         """Forget a task that has its answer and nothing out."""
