--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -253,7 +253,7 @@
         self.io.remind(at)
 
     def watch(self) -> None:
-        self.io.ask_list()
+        self.io.request_store_list()
 
     def tell(self, peer: int | None, word: Word) -> None:
         self.io.tell_peer(peer, word)
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -240,7 +240,7 @@
     def remind(self, at: int) -> None:
         self._reminder.set(at)
 
-    def ask_list(self) -> None:
+    def request_store_list(self) -> None:
         self._asked = True  # the module may ask before the program runs
         if self.listing:
             self.listing.ask()
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -63,7 +63,7 @@
             self.fellow.cluster_member.parts if self.fellow else None,
         )
         if self.asked or scene.day.fleet.list_mode == "push":
-            self.ask_list()
+            self.request_store_list()
 
     def end(self) -> None:
         """Told to end: it takes no more, says so to the other gateways, answers what it holds and is gone."""
@@ -166,7 +166,7 @@
         """A reminder that fell into a stall: carried out after all that came in was read."""
         self.engine.after(1_000, self._tick, self.life, ticket)
 
-    def ask_list(self) -> None:
+    def request_store_list(self) -> None:
         self.asked = True
         self.engine.after(self.scene.ways.to_list(), self.scene.list.ask, self, self.life)
 
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -313,7 +313,7 @@
     def remind(self, at: int) -> None:
         self.reminder.set(at)
 
-    def ask_list(self) -> None:
+    def request_store_list(self) -> None:
         if self._discovery:  # not yet there while the core is made
             self._discovery.ask()
 
