--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -256,7 +256,7 @@
         self.io.request_store_list()
 
     def tell(self, peer: int | None, word: Word) -> None:
-        self.io.tell_peer(peer, word)
+        self.io.send_to_peer(peer, word)
 
     def note(self, text: str) -> None:
         self.io.note("module", text=text)
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -245,7 +245,7 @@
         if self.listing:
             self.listing.ask()
 
-    def tell_peer(self, peer: int | None, word: Word) -> None:
+    def send_to_peer(self, peer: int | None, word: Word) -> None:
         if self.peers:
             self.peers.tell(peer, Urgency.HINT, self.native.share_of(word))
 
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -170,7 +170,7 @@
         self.asked = True
         self.engine.after(self.scene.ways.to_list(), self.scene.list.ask, self, self.life)
 
-    def tell_peer(self, peer: int | None, word: Word) -> None:
+    def send_to_peer(self, peer: int | None, word: Word) -> None:
         share = self.native.share_of(word)
         for other in self.fleet if peer is None else [self.fleet[peer]]:
             if other.alive and other is not self:
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -317,7 +317,7 @@
         if self._discovery:  # not yet there while the core is made
             self._discovery.ask()
 
-    def tell_peer(self, peer: int | None, word: Word) -> None:
+    def send_to_peer(self, peer: int | None, word: Word) -> None:
         pass  # the platform has no way between gateways that its settings allow
 
     def note(self, event: str, **fields: Any) -> None:
