--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -259,7 +259,7 @@
         self.io.send_to_peer(peer, word)
 
     def note(self, text: str) -> None:
-        self.io.note("module", text=text)
+        self.io.log_event("module", text=text)
 
     # Within
 
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -249,7 +249,7 @@
         if self.peers:
             self.peers.tell(peer, Urgency.HINT, self.native.share_of(word))
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         self.log.info(event, **fields)
 
     # Within
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -176,7 +176,7 @@
             if other.alive and other is not self:
                 self.engine.after(self.scene.ways.client(), other.tell, other.life, other.share, share)
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         self.scene.notes.append(f"{self.name} {event} {fields}")
 
     def hand_off(self, attempt: Attempt) -> None:
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -320,7 +320,7 @@
     def send_to_peer(self, peer: int | None, word: Word) -> None:
         pass  # the platform has no way between gateways that its settings allow
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         log(event, **fields)
 
     # Within
