--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -250,7 +250,7 @@
         self._final(task.handle, BreakOff(), "")
 
     def remind(self, at: int) -> None:
-        self.io.remind(at)
+        self.io.set_wakeup(at)
 
     def watch(self) -> None:
         self.io.request_store_list()
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -237,7 +237,7 @@
     def withdraw(self, attempt: Attempt) -> None:
         self.stores.withdraw(attempt)
 
-    def remind(self, at: int) -> None:
+    def set_wakeup(self, at: int) -> None:
         self._reminder.set(at)
 
     def request_store_list(self) -> None:
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -147,7 +147,7 @@
         sent()
         self.scene.clients.answer_on_its_way(self, held.id, answer_of(final, body))
 
-    def remind(self, at: int) -> None:
+    def set_wakeup(self, at: int) -> None:
         if self.reminder and at >= self.reminder:
             return
         self.reminder = at
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -310,7 +310,7 @@
     def withdraw(self, attempt: Attempt) -> None:
         self.stores.withdraw(attempt)
 
-    def remind(self, at: int) -> None:
+    def set_wakeup(self, at: int) -> None:
         self.reminder.set(at)
 
     def request_store_list(self) -> None:
