--- a/tansykeel/control_plane/node_agent.py
+++ b/tansykeel/control_plane/node_agent.py
@@ -11,7 +11,7 @@
 from tansykeel.control.actions import CloseConnection, ConnectionId, NodeAction, SendToGateway, SendToNode
 from tansykeel.control.node import ControlNode
 from tansykeel.control_plane.gateway_connections import GatewayConnections
-from tansykeel.edge.clock import Reminder, clock
+from tansykeel.edge.clock import WakeupTimer, clock
 from tansykeel.edge.cluster_connections import ClusterConnections
 from tansykeel.protocol.frames import ControlStatus, Fields, FleetTold
 
@@ -35,7 +35,7 @@
 
     def __init__(self, node: ControlNode, members: ClusterConnections, gateways: GatewayConnections, log: Any) -> None:
         self.node, self.members, self.gateways, self.log = node, members, gateways, log
-        self._reminder = Reminder(self._tick)
+        self._reminder = WakeupTimer(self._tick)
         self._ended = False
         self._leased = False
         self._leader = ""
--- a/tansykeel/edge/clock.py
+++ b/tansykeel/edge/clock.py
@@ -24,7 +24,7 @@
     return (moment - EPOCH) * MICROSECONDS
 
 
-class Reminder:
+class WakeupTimer:
     """Calls `due(now)` at the earliest time asked for."""
 
     def __init__(self, due: Callable[[int], None]) -> None:
--- a/tansykeel/edge/cluster_agent.py
+++ b/tansykeel/edge/cluster_agent.py
@@ -11,7 +11,7 @@
 from tansykeel.cluster.member import ClusterMessage
 from tansykeel.cluster.membership import View
 from tansykeel.cluster.replicated_log import StateMachine
-from tansykeel.edge.clock import EPOCH, Reminder, clock
+from tansykeel.edge.clock import EPOCH, WakeupTimer, clock
 from tansykeel.edge.cluster_connections import MICROS, ClusterConnections
 from tansykeel.edge.peers import Peers
 from tansykeel.protocol.frames import FleetTold, Hello, Watch
@@ -42,7 +42,7 @@
             settings, names, me, hello.boot, Random(f"{seed} {hello.boot}"), clock(), machine
         )
         self.connections = ClusterConnections(self.cluster_member, peers, log)
-        self.reminder = Reminder(self._tick)
+        self.reminder = WakeupTimer(self._tick)
         self.leased = self.ended = False
         self.told: tuple[int, Fraction, int] | None = None
 
--- a/tansykeel/edge/control_session.py
+++ b/tansykeel/edge/control_session.py
@@ -13,7 +13,7 @@
 from tansykeel.cluster.allotments import Allotments
 from tansykeel.control.actions import ConnectToNode, CountedLease, DisconnectFromNode, GatewayAction, SendToControl
 from tansykeel.control.session_client import SessionClient, SessionState
-from tansykeel.edge.clock import Reminder, clock
+from tansykeel.edge.clock import WakeupTimer, clock
 from tansykeel.edge.control_connection import ControlConnection
 from tansykeel.protocol.codec import Event, Frame
 from tansykeel.protocol.frames import (
@@ -69,7 +69,7 @@
         self._node = ""  # that held the session, its rejection and its refusals when they were logged last
         self._rejected_reason = ""
         self._refusals = 0
-        self._reminder = Reminder(self._tick)
+        self._reminder = WakeupTimer(self._tick)
 
     @property
     def allotments(self) -> Allotments:
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -14,7 +14,7 @@
 from tansykeel.brain import Scheduler
 from tansykeel.cluster.member import MemberStillAlive
 from tansykeel.cluster.send_queue import Urgency
-from tansykeel.edge.clock import Reminder, clock
+from tansykeel.edge.clock import WakeupTimer, clock
 from tansykeel.edge.cluster_agent import ClusterAgent, Counted
 from tansykeel.edge.control_session import ClaimObserver, ControlSession, control_session_of
 from tansykeel.edge.core import Core
@@ -74,7 +74,7 @@
         self.hello = Hello(1, "edge", self.gateway.named(facts.me), self.incarnation, 0)
         self.hub = Hub(Limits(stall=settings.gateway.peer_stall_s))
         self.clients: set[Link] = set()
-        self._reminder = Reminder(lambda now: self.core.tick(now))
+        self._reminder = WakeupTimer(lambda now: self.core.tick(now))
         self._asked = False
         self.listing: Listing | None = None
         self.failed = False
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -14,7 +14,7 @@
 from socket import socket
 from typing import Any
 
-from tansykeel.edge.clock import TENTHS_PER_SECOND, Reminder, clock
+from tansykeel.edge.clock import TENTHS_PER_SECOND, WakeupTimer, clock
 from tansykeel.edge.core import Core
 from tansykeel.edge.tasks import DELIVERED, NACKED, Attempt, Bounds, FinalAnswer, HeldTask
 from tansykeel.http1 import codec
@@ -62,7 +62,7 @@
         self.counts = EventCounts(log if os.environ.get(TRACE_VARIABLE) == "1" else None)
         self.stalls = StallDetector(LOOK, loop.time())
         self.checks = PeriodicChecks(self, log)
-        self.reminder = Reminder(self._tick)
+        self.reminder = WakeupTimer(self._tick)
         self.stopping = asyncio.Event()
         self.told_to_stop = 0.0  # when SIGTERM came
         self.closing = False  # each answer is its connection's last
