--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -28,8 +28,8 @@
     HeldTask,
     Intake,
     Memory,
-    RowOf,
     StillHeld,
+    StoreRow,
     UpdateOf,
 )
 from tansykeel.interface import BreakOff, Facts, How, Nack, Outcome, Parts, State, Store, Task, Want, Word
@@ -50,7 +50,7 @@
         now: int,
         bounds: Bounds,
         intake: Intake,
-        known: Iterable[RowOf] = (),
+        known: Iterable[StoreRow] = (),
         decide: Callable[[Facts, int, Runner], Decisions] = Scheduler,
         parts: Parts | None = None,
     ) -> None:
@@ -263,7 +263,7 @@
 
     # Within
 
-    def _rows(self, rows: Iterable[RowOf], anew: bool = False) -> None:
+    def _rows(self, rows: Iterable[StoreRow], anew: bool = False) -> None:
         for row in rows:
             known, state = self.stores.get(row.name), State(row.state)
             if anew and known and row.boot == self.boots.get(known, 0) and LEAVING[known.state] > LEAVING[state]:
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -50,7 +50,7 @@
     reason: str = ""
 
 
-class RowOf(Protocol):
+class StoreRow(Protocol):
     """A store as a list tells of it; `boot` is new with each of its starts, `age` in microseconds, 0: long past."""
 
     @property
@@ -77,7 +77,7 @@
     @property
     def version(self) -> int: ...
     @property
-    def rows(self) -> Sequence[RowOf]: ...
+    def rows(self) -> Sequence[StoreRow]: ...
     @property
     def failed(self) -> bool: ...
 
