--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -27,10 +27,10 @@
     GatewayIO,
     HeldTask,
     Intake,
+    ListUpdate,
     Memory,
     StillHeld,
     StoreRow,
-    UpdateOf,
 )
 from tansykeel.interface import BreakOff, Facts, How, Nack, Outcome, Parts, State, Store, Task, Want, Word
 from tansykeel.runner import Runner
@@ -173,7 +173,7 @@
         self.runner.settle()
         return store.started > 0
 
-    def listed(self, now: int, update: UpdateOf, anew: bool = False) -> None:
+    def listed(self, now: int, update: ListUpdate, anew: bool = False) -> None:
         """The list, or a change to it. One older than what is known is not believed, unless its versions count `anew`,
         from another beginning."""
         self.runner.move(now)
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -69,7 +69,7 @@
     def age(self) -> int: ...
 
 
-class UpdateOf(Protocol):
+class ListUpdate(Protocol):
     """The list, or what changed in it."""
 
     @property
