--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -22,7 +22,7 @@
     Attempt,
     Bounds,
     Counts,
-    Decisions,
+    DecisionModule,
     FinalAnswer,
     GatewayIO,
     HeldTask,
@@ -51,7 +51,7 @@
         bounds: Bounds,
         intake: Intake,
         known: Iterable[StoreRow] = (),
-        decide: Callable[[Facts, int, Runner], Decisions] = Scheduler,
+        decide: Callable[[Facts, int, Runner], DecisionModule] = Scheduler,
         parts: Parts | None = None,
     ) -> None:
         self.facts, self.io, self.bounds, self.intake = facts, io, bounds, intake
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -23,7 +23,7 @@
 from tansykeel.edge.native import Native, answer_of, bounds_of, known_of
 from tansykeel.edge.peers import Peers
 from tansykeel.edge.stores import Stores
-from tansykeel.edge.tasks import DELIVERED, Attempt, Decisions, FinalAnswer, HeldTask, StillHeld
+from tansykeel.edge.tasks import DELIVERED, Attempt, DecisionModule, FinalAnswer, HeldTask, StillHeld
 from tansykeel.edge.trace import Trace
 from tansykeel.interface import Facts, Parts, Word
 from tansykeel.maintenance.messages import CODEC, Figures, MaintenanceMessage, MessageError
@@ -63,7 +63,7 @@
         seed: int,
         trace: Trace | None = None,
         sample: int = 100,
-        decide: Callable[..., Decisions] = Scheduler,
+        decide: Callable[..., DecisionModule] = Scheduler,
         counted: Counted | None = None,
         claimed: ClaimObserver | None = None,
     ) -> None:
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -171,7 +171,7 @@
             del self.by_client[client]
 
 
-class Decisions(Protocol):
+class DecisionModule(Protocol):
     """What the core asks of the module, and of a baseline in its place."""
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None: ...
--- a/tansykeel/emulator/scene.py
+++ b/tansykeel/emulator/scene.py
@@ -10,7 +10,7 @@
 import numpy
 
 from tansykeel.audit.records import AnyRecord, Record
-from tansykeel.edge.tasks import Decisions
+from tansykeel.edge.tasks import DecisionModule
 from tansykeel.emulator.engine import Engine
 from tansykeel.emulator.ways import GatewayEnd, StoreEnd, Ways
 from tansykeel.interface import Facts
@@ -23,7 +23,7 @@
 
 STORES, NETWORK, LINKS = 3 * 10**6, 4 * 10**6, 6 * 10**6  # streams beside those of `rehearse.load`
 
-Decide = Callable[..., Decisions]
+Decide = Callable[..., DecisionModule]
 
 
 class ClientsEnd(Protocol):
