--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -28,7 +28,7 @@
     HeldTask,
     Intake,
     ListUpdate,
-    Memory,
+    MemoryBudget,
     StillHeld,
     StoreRow,
 )
@@ -61,7 +61,7 @@
         self.boots: dict[Store, int] = {}
         self.held: dict[tuple[Any, Any], HeldTask] = {}
         self.coming: dict[int, deque[HeldTask]] = {}  # by key, of ordered categories: not started, as they were taken
-        self.memory = Memory(bounds.body_memory, bounds.client_memory)
+        self.memory = MemoryBudget(bounds.body_memory, bounds.client_memory)
         self.counts = Counts()
         self.stopping = False
         self.list_version = -1
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -144,7 +144,7 @@
     outcomes: dict[str, int] = field(default_factory=dict)
 
 
-class Memory:
+class MemoryBudget:
     """Bytes promised to bodies, of one connection and of all; a task's are taken whole before it is held."""
 
     def __init__(self, most: int, most_each: int) -> None:
