--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -72,7 +72,7 @@
 
     # What clients say
 
-    def taken(self, now: int, client: Any, id: Any, request: Any) -> None:
+    def receive_task(self, now: int, client: Any, id: Any, request: Any) -> None:
         """A task has come. Raises StillHeld where the client uses the id of a task that it still waits for."""
         self.runner.move(now)
         now = self.runner.now
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -273,7 +273,7 @@
         match event.record:
             case TaskOf() as request:
                 try:
-                    self.core.taken(clock(), link, event.stream, request)
+                    self.core.receive_task(clock(), link, event.stream, request)
                 except StillHeld as error:
                     raise ProtocolError(f"TASK on stream {event.stream}: a task with this id is still held") from error
             case Cancel():
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -117,7 +117,7 @@
             call(*arguments)
 
     def task(self, client: str, id: int, request: TaskOf, body: bool) -> None:
-        self.core.taken(self.clock(), client, id, request)
+        self.core.receive_task(self.clock(), client, id, request)
         if body and request.body:
             self.core.piece(self.clock(), client, id, self.scene.blank(request.body))
 
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -245,7 +245,7 @@
         client.open = wanted.id
         self.open[wanted.id] = client
         try:
-            self.core.taken(clock(), client, wanted.id, wanted)
+            self.core.receive_task(clock(), client, wanted.id, wanted)
         except Exception as error:
             self.failed("a request was not taken", error)
             self._answer_failed(client, wanted)
