--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -96,7 +96,7 @@
         if not held.missing:
             self._whole(held)
 
-    def piece(self, now: int, client: Any, id: Any, data: bytes) -> None:
+    def receive_body(self, now: int, client: Any, id: Any, data: bytes) -> None:
         """Bytes of a task's body; those of a task that has its answer already are let go."""
         held = self.held.get((client, id))
         if held is None or held.answered or held.started:
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -268,7 +268,7 @@
 
     def _event(self, link: Link, event: Event) -> None:
         if isinstance(event, Piece):
-            self.core.piece(clock(), link, event.stream, event.data)
+            self.core.receive_body(clock(), link, event.stream, event.data)
             return
         match event.record:
             case TaskOf() as request:
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -119,7 +119,7 @@
     def task(self, client: str, id: int, request: TaskOf, body: bool) -> None:
         self.core.receive_task(self.clock(), client, id, request)
         if body and request.body:
-            self.core.piece(self.clock(), client, id, self.scene.blank(request.body))
+            self.core.receive_body(self.clock(), client, id, self.scene.blank(request.body))
 
     def cancelled(self, client: str, id: int) -> None:
         self.core.left(self.clock(), client, id)
