--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -107,7 +107,7 @@
             self.runner.move(now)
             self._whole(held)
 
-    def left(self, now: int, client: Any, id: Any) -> None:
+    def cancel_task(self, now: int, client: Any, id: Any) -> None:
         """The client gave the task up, or its body."""
         held = self.held.get((client, id))
         if held is None or held.answered:
@@ -123,7 +123,7 @@
 
     def client_gone(self, now: int, client: Any) -> None:
         for owner, id in [key for key in self.held if key[0] is client]:
-            self.left(now, owner, id)
+            self.cancel_task(now, owner, id)
 
     # What stores and the list say
 
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -278,14 +278,14 @@
                     raise ProtocolError(f"TASK on stream {event.stream}: a task with this id is still held") from error
             case Cancel():
                 link.drop_body(event.stream)
-                self.core.left(clock(), link, event.stream)
+                self.core.cancel_task(clock(), link, event.stream)
             case Hello() as hello:
                 if self.peers and hello.role == "peer":
                     self.peers.came(link, hello)
             case Share() | Watch() as word:
                 self._peer_message(link, word)
             case Cut():
-                self.core.left(clock(), link, event.stream)
+                self.core.cancel_task(clock(), link, event.stream)
             case Accord() as said:
                 self._maintenance_message(link, event.stream, said)
             case FleetAsk() | FleetWithout() as told:
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -122,7 +122,7 @@
             self.core.receive_body(self.clock(), client, id, self.scene.blank(request.body))
 
     def cancelled(self, client: str, id: int) -> None:
-        self.core.left(self.clock(), client, id)
+        self.core.cancel_task(self.clock(), client, id)
 
     def client_gone(self, client: str) -> None:
         self.core.client_gone(self.clock(), client)
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -253,14 +253,14 @@
     def client_left(self, client: Client) -> None:
         assert client.open is not None
         del self.open[client.open]
-        self.core.left(clock(), client, client.open)
+        self.core.cancel_task(clock(), client, client.open)
 
     def _answer_failed(self, client: Client, wanted: Wanted) -> None:
         """Guards against a fault of our own that would leave a request without its answer."""
         if client.open != wanted.id:
             return
         self.violations.report(Invariant.ANSWER_BEFORE_CLOSE, id=wanted.id)
-        self.core.left(clock(), client, wanted.id)
+        self.core.cancel_task(clock(), client, wanted.id)
         self.open.pop(wanted.id, None)
         last = self._ends_with_answer(client, wanted.request)
         client.answer(codec.answer(500, last=last), last)
