--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -121,7 +121,7 @@
         self._let_go(held)
         self.runner.settle()
 
-    def client_gone(self, now: int, client: Any) -> None:
+    def client_disconnected(self, now: int, client: Any) -> None:
         for owner, id in [key for key in self.held if key[0] is client]:
             self.cancel_task(now, owner, id)
 
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -346,7 +346,7 @@
 
     def _gone(self, link: Link, why: str) -> None:
         self.clients.discard(link)
-        self.core.client_gone(clock(), link)
+        self.core.client_disconnected(clock(), link)
 
     def _broken(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """The module or this program failed: answer what is held and end; a supervisor starts a new one."""
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -125,7 +125,7 @@
         self.core.cancel_task(self.clock(), client, id)
 
     def client_gone(self, client: str) -> None:
-        self.core.client_gone(self.clock(), client)
+        self.core.client_disconnected(self.clock(), client)
 
     def listed(self, update: ListOf) -> None:
         self.core.listed(self.clock(), update)
