--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -127,7 +127,7 @@
 
     # What stores and the list say
 
-    def outcome(
+    def record_outcome(
         self,
         now: int,
         attempt: Attempt,
@@ -301,7 +301,7 @@
         if attempt.over:
             return
         self._take_back(attempt)
-        self.outcome(self.runner.now, attempt, How.TIMED_OUT)
+        self.record_outcome(self.runner.now, attempt, How.TIMED_OUT)
 
     def _take_back(self, attempt: Attempt) -> None:
         """Guards against an attempt that begins though nobody waits for it, also where none may be cancelled: one
--- a/tansykeel/edge/stores.py
+++ b/tansykeel/edge/stores.py
@@ -181,7 +181,7 @@
         if not connection.out:
             connection.idle_since = asyncio.get_running_loop().time()
         if attempt:
-            self.stores.core.outcome(
+            self.stores.core.record_outcome(
                 self.stores.clock(),
                 attempt,
                 HOWS[outcome.how],
@@ -234,4 +234,4 @@
         asyncio.get_running_loop().call_soon(self.core_outcome, attempt, how)
 
     def core_outcome(self, attempt: Attempt, how: How) -> None:
-        self.core.outcome(self.clock(), attempt, how)
+        self.core.record_outcome(self.clock(), attempt, how)
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -253,10 +253,10 @@
     ) -> None:
         if not conn.lost:
             conn.works.pop(attempt, None)
-            self.core.outcome(self.clock(), attempt, how, shard=shard, report=report, elsewhere=elsewhere)
+            self.core.record_outcome(self.clock(), attempt, how, shard=shard, report=report, elsewhere=elsewhere)
 
     def _outcome(self, attempt: Attempt, how: How) -> None:
-        self.core.outcome(self.clock(), attempt, how)
+        self.core.record_outcome(self.clock(), attempt, how)
 
 
 class ClusterMemberHost:
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -168,7 +168,7 @@
     def outcome(self, attempt: Attempt, how: How) -> None:
         """Tell the core what became of an attempt."""
         self.counts.trace("outcome", id=attempt.held.id, number=attempt.number, how=how.value)
-        self.core.outcome(self.clock(), attempt, how)
+        self.core.record_outcome(self.clock(), attempt, how)
 
     def malformed(self, attempt: Attempt, why: str) -> None:
         """An answer came that can't be read: what was asked may have run."""
@@ -187,4 +187,4 @@
         self.counts.trace("outcome", id=attempt.held.id, number=attempt.number, how=how.value)
         used = parse_figure(fields.get(b"x-meter"), -1)
         elsewhere = parse_figure(fields.get(b"x-delta"), 0)
-        self.core.outcome(self.clock(), attempt, how, body=[answer.body], used=used, elsewhere=elsewhere)
+        self.core.record_outcome(self.clock(), attempt, how, body=[answer.body], used=used, elsewhere=elsewhere)
