--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -161,7 +161,7 @@
         self.runner.outcome(held.task, told)
         self._let_go(held)
 
-    def met(self, now: int, store: Store, boot: int, age: int) -> bool:
+    def store_connected(self, now: int, store: Store, boot: int, age: int) -> bool:
         """A store's own hello told its boot id and its age in microseconds: the list may be late with it.
 
         True if it started anew: what was granted for it and not sent was decided without knowing that.
--- a/tansykeel/edge/stores.py
+++ b/tansykeel/edge/stores.py
@@ -153,7 +153,7 @@
 
     def _ready(self, connection: Connection, hello: Hello) -> None:
         connection.ready, connection.idle_since = True, asyncio.get_running_loop().time()
-        if self.stores.core.met(self.stores.clock(), self.store, hello.boot, hello.age):
+        if self.stores.core.store_connected(self.stores.clock(), self.store, hello.boot, hello.age):
             # Guards against all that many gateways granted to a store whose restart they had not heard of: sent
             # together it would push it over. It was not sent, and the module decides anew.
             unsent, self.waiting = list(self.waiting), deque()
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -222,7 +222,7 @@
             return
         conn.up = True
         unsent, conn.waiting = list(conn.waiting), deque()
-        anew = self.core.met(self.clock(), conn.known, hello.boot, hello.age)
+        anew = self.core.store_connected(self.clock(), conn.known, hello.boot, hello.age)
         for attempt in unsent:
             if anew:  # granted without knowing of the start: as the program does, it is decided anew
                 self._outcome(attempt, How.MOOT)
