--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -173,7 +173,7 @@
         self.runner.settle()
         return store.started > 0
 
-    def listed(self, now: int, update: ListUpdate, anew: bool = False) -> None:
+    def apply_list_update(self, now: int, update: ListUpdate, anew: bool = False) -> None:
         """The list, or a change to it. One older than what is known is not believed, unless its versions count `anew`,
         from another beginning."""
         self.runner.move(now)
--- a/tansykeel/edge/listing.py
+++ b/tansykeel/edge/listing.py
@@ -86,7 +86,7 @@
         self.heard = asyncio.get_running_loop().time()
         if not (rows or update.full or update.failed) and update.version == self.core.list_version:
             return  # no news
-        self.core.listed(self.clock(), ListOf(update.full, update.version, rows, False, update.failed))
+        self.core.apply_list_update(self.clock(), ListOf(update.full, update.version, rows, False, update.failed))
 
     def _lost(self, link: Link, why: str) -> None:
         self.rows = []
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -128,7 +128,7 @@
         self.core.client_disconnected(self.clock(), client)
 
     def listed(self, update: ListOf) -> None:
-        self.core.listed(self.clock(), update)
+        self.core.apply_list_update(self.clock(), update)
 
     def list_lost(self) -> None:
         self.core.list_lost(self.clock())
--- a/tansykeel/platform/discovery.py
+++ b/tansykeel/platform/discovery.py
@@ -192,7 +192,7 @@
         self.moved = self.moved and not first
         self.revision = members.revision
         rows = [self.rows.row(member, known_without) for member in members.members]
-        self.core.listed(self.clock(), Update(members.complete, members.revision, rows), anew)
+        self.core.apply_list_update(self.clock(), Update(members.complete, members.revision, rows), anew)
         if rows or members.complete:
             self.note(
                 "list",
--- a/tests/broken_edge.py
+++ b/tests/broken_edge.py
@@ -39,13 +39,13 @@
 
 
 def hears_of_no_drain(facts):
-    def listed(self, now, update, heard=Core.listed):
+    def listed(self, now, update, heard=Core.apply_list_update):
         import msgspec
 
         rows = tuple(msgspec.structs.replace(row, state="ready") for row in update.rows)
         heard(self, now, msgspec.structs.replace(update, rows=rows))
 
-    Core.listed = listed
+    Core.apply_list_update = listed
     return facts
 
 
--- a/tests/edge/test_listing.py
+++ b/tests/edge/test_listing.py
@@ -56,7 +56,7 @@
     def __init__(self):
         self.list_version, self.updates, self.lost = -1, [], 0
 
-    def listed(self, now, update):
+    def apply_list_update(self, now, update):
         self.list_version = update.version
         self.updates.append(update)
 
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -186,7 +186,7 @@
     gateway = world().gateways[0]
     for version in range(1, 8):
         row = Row(f"new-{version}", f"new-{version}:1", 0, 0, "ready", version, 0)
-        gateway.core.listed(gateway.clock() + version, ListOf(True, version, (row,)))
+        gateway.core.apply_list_update(gateway.clock() + version, ListOf(True, version, (row,)))
     assert list(gateway.core.stores) == ["new-5", "new-6", "new-7"]
     assert {store.handle for store in gateway.core.addresses} == set(gateway.core.stores)
     assert set(gateway.core.boots) <= set(gateway.core.addresses)
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -183,7 +183,7 @@
     def listed(self, *rows, full=False):
         """Tell the gateway's core of the list as its connection would."""
         self.version += 1
-        self.edge.core.listed(clock(), ListOf(full, self.version, rows))
+        self.edge.core.apply_list_update(clock(), ListOf(full, self.version, rows))
 
     def row(self, store, state="ready"):
         return Row(store.name, store.address, 0, store.shard, state, store.boot, store.age)
