--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -178,7 +178,7 @@
         from another beginning."""
         self.runner.move(now)
         if update.failed:
-            return self.list_lost(now)
+            return self.list_unavailable(now)
         if update.version < self.list_version and not anew:
             return
         self.list_version = update.version
@@ -196,7 +196,7 @@
             self.boots.pop(store, None)
         self.runner.settle()
 
-    def list_lost(self, now: int) -> None:
+    def list_unavailable(self, now: int) -> None:
         """A call failed or the subscription dropped: the module says when to ask again."""
         self.runner.move(now)
         self.brain.list_failed()
--- a/tansykeel/edge/listing.py
+++ b/tansykeel/edge/listing.py
@@ -52,7 +52,7 @@
             sock = await connect(self.settings.address, CONNECT_WITHIN)
         except (OSError, ValueError):
             self.connecting = None
-            self.core.list_lost(self.clock())
+            self.core.list_unavailable(self.clock())
             return
         self.connecting = None
         self.link = Link(self.hub, sock, Codec("list"), self.hello, self._event, self._lost)
@@ -91,4 +91,4 @@
     def _lost(self, link: Link, why: str) -> None:
         self.rows = []
         if not self.ended:
-            self.core.list_lost(self.clock())
+            self.core.list_unavailable(self.clock())
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -131,7 +131,7 @@
         self.core.apply_list_update(self.clock(), update)
 
     def list_lost(self) -> None:
-        self.core.list_lost(self.clock())
+        self.core.list_unavailable(self.clock())
 
     def word(self, sender: Member, word: ClusterMessage) -> None:
         if self.fellow:
--- a/tansykeel/platform/discovery.py
+++ b/tansykeel/platform/discovery.py
@@ -224,7 +224,7 @@
 
     def _lost(self) -> None:
         if not self._here() and not self.over:
-            self.core.list_lost(self.clock())
+            self.core.list_unavailable(self.clock())
 
     def _open(self, index: int | None = None) -> None:
         if not self._here():
--- a/tests/edge/test_listing.py
+++ b/tests/edge/test_listing.py
@@ -60,7 +60,7 @@
         self.list_version = update.version
         self.updates.append(update)
 
-    def list_lost(self, now):
+    def list_unavailable(self, now):
         self.lost += 1
         self.listing.ask()
 
