--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -202,7 +202,7 @@
         self.brain.list_failed()
         self.runner.settle()
 
-    def heard(self, now: int, sender: int, word: Word) -> None:
+    def receive_peer_message(self, now: int, sender: int, word: Word) -> None:
         """Another gateway's word."""
         self.runner.move(now)
         self.brain.heard(sender, word)
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -307,7 +307,7 @@
         match word:
             case Share():
                 if told := self.native.word_of(word):
-                    self.core.heard(clock(), word.sender, told)
+                    self.core.receive_peer_message(clock(), word.sender, told)
             case Watch():
                 if self.cluster_agent and link.peer:
                     self.cluster_agent.heard(link.peer, word)
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -139,7 +139,7 @@
 
     def share(self, share: Share) -> None:
         if word := self.native.word_of(share):
-            self.core.heard(self.clock(), share.sender, word)
+            self.core.receive_peer_message(self.clock(), share.sender, word)
 
     # GatewayIO: what the core wants done
 
