--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -58,7 +58,7 @@
         self.runner = Runner(self, now, parts)
         self.stores: dict[str, Store] = {}
         self.addresses: dict[Store, str] = {}
-        self.boots: dict[Store, int] = {}
+        self.boot_ids: dict[Store, int] = {}
         self.held: dict[tuple[Any, Any], HeldTask] = {}
         self.coming: dict[int, deque[HeldTask]] = {}  # by key, of ordered categories: not started, as they were taken
         self.memory = MemoryBudget(bounds.body_memory, bounds.client_memory)
@@ -193,7 +193,7 @@
         for name in gone[:-MOST_GONE]:
             store = self.stores.pop(name)
             del self.addresses[store]
-            self.boots.pop(store, None)
+            self.boot_ids.pop(store, None)
         self.runner.settle()
 
     def list_unavailable(self, now: int) -> None:
@@ -266,7 +266,7 @@
     def _rows(self, rows: Iterable[StoreRow], anew: bool = False) -> None:
         for row in rows:
             known, state = self.stores.get(row.name), State(row.state)
-            if anew and known and row.boot == self.boots.get(known, 0) and LEAVING[known.state] > LEAVING[state]:
+            if anew and known and row.boot == self.boot_ids.get(known, 0) and LEAVING[known.state] > LEAVING[state]:
                 # Guards against sends to a store that was heard to drain: whose versions count anew may be behind.
                 state = known.state
             store = self.stores.setdefault(row.name, Store(row.name))
@@ -351,10 +351,10 @@
 
     def _booted(self, store: Store, boot: int, age: int) -> bool:
         """Take in when a store started. Of two starts the later is right: a late list must not undo a hello."""
-        if not boot or self.boots.get(store) == boot:
+        if not boot or self.boot_ids.get(store) == boot:
             return False
         started = max(self.runner.now - age // MICROS, 1) if age else 0
-        if store in self.boots and started <= store.started:
+        if store in self.boot_ids and started <= store.started:
             return False
-        self.boots[store], store.started = boot, started
+        self.boot_ids[store], store.started = boot, started
         return True
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -189,4 +189,4 @@
         gateway.core.apply_list_update(gateway.clock() + version, ListOf(True, version, (row,)))
     assert list(gateway.core.stores) == ["new-5", "new-6", "new-7"]
     assert {store.handle for store in gateway.core.addresses} == set(gateway.core.stores)
-    assert set(gateway.core.boots) <= set(gateway.core.addresses)
+    assert set(gateway.core.boot_ids) <= set(gateway.core.addresses)
