--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -240,7 +240,7 @@
         attempt = Attempt(held, store, task.hand_offs - 1, now, until)
         held.out.append(attempt)
         self.counts.hand_offs += 1
-        self.runner.alarm(until, partial(self._timed_out, attempt))
+        self.runner.alarm(until, partial(self._attempt_timed_out, attempt))
         self.io.hand_off(attempt)
 
     def nack(self, task: Task, come_back: int) -> None:
@@ -297,7 +297,7 @@
         if not held.started and not held.answered:
             self._give_up(held, "its body did not come in time")
 
-    def _timed_out(self, attempt: Attempt) -> None:
+    def _attempt_timed_out(self, attempt: Attempt) -> None:
         if attempt.over:
             return
         self._take_back(attempt)
