--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -36,7 +36,7 @@
 from tansykeel.runner import Runner
 
 LEAVING = {State.READY: 0, State.DRAINING: 1, State.GONE: 2}  # a store's way out, in order
-MOST_GONE = 1_000  # stores that are gone and still known by name, the newest ones
+MAX_GONE_STORES = 1_000  # stores that are gone and still known by name, the newest ones
 
 
 class Core:
@@ -190,7 +190,7 @@
                     store.state = State.GONE
         self.brain.list_changed(list(self.stores.values()), confirmed=True)
         gone = [name for name, store in self.stores.items() if store.state is State.GONE]
-        for name in gone[:-MOST_GONE]:
+        for name in gone[:-MAX_GONE_STORES]:
             store = self.stores.pop(name)
             del self.addresses[store]
             self.boot_ids.pop(store, None)
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -182,7 +182,7 @@
 
 def test_names_of_stores_long_gone_are_let_go(world, monkeypatch):
     """Guards against memory that grows with every store that was ever listed."""
-    monkeypatch.setattr("tansykeel.edge.core.MOST_GONE", 2)
+    monkeypatch.setattr("tansykeel.edge.core.MAX_GONE_STORES", 2)
     gateway = world().gateways[0]
     for version in range(1, 8):
         row = Row(f"new-{version}", f"new-{version}:1", 0, 0, "ready", version, 0)
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -354,7 +354,7 @@
 
 def test_ever_new_stores_clients_and_volumes_leave_nothing_behind(tmp_path, monkeypatch):
     monkeypatch.setattr("tansykeel.platform.intake.MOST_VOLUMES", 10)
-    monkeypatch.setattr("tansykeel.edge.core.MOST_GONE", 3)
+    monkeypatch.setattr("tansykeel.edge.core.MAX_GONE_STORES", 3)
 
     async def go():
         async with staged(tmp_path, known=False) as stage:
