--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -140,10 +140,10 @@
         elsewhere: int = 0,
     ) -> None:
         """What became of a hand-off. One whose outcome is known already is not told of again."""
-        if attempt.over:
+        if attempt.finished:
             return
         self.runner.move(now)
-        attempt.over = True
+        attempt.finished = True
         held, lag = attempt.held, self.runner.now - attempt.sent
         held.out.remove(attempt)
         held.last_outcome = how.value
@@ -298,7 +298,7 @@
             self._give_up(held, "its body did not come in time")
 
     def _attempt_timed_out(self, attempt: Attempt) -> None:
-        if attempt.over:
+        if attempt.finished:
             return
         self._take_back(attempt)
         self.record_outcome(self.runner.now, attempt, How.TIMED_OUT)
--- a/tansykeel/edge/stores.py
+++ b/tansykeel/edge/stores.py
@@ -161,7 +161,7 @@
                 self.stores.core_outcome(attempt, How.MOOT)
         while self.waiting and len(connection.out) < self.stores.gateway.streams_per_connection:
             attempt = self.waiting.popleft()
-            if not attempt.over:
+            if not attempt.finished:
                 self._send(connection, attempt)
 
     def _frame(self, connection: Connection, link: Link, event: Frame) -> None:
@@ -193,7 +193,7 @@
             )
         if self.waiting and connection.ready and connection.link and not connection.link.lost:
             waiting = self.waiting.popleft()
-            if not waiting.over:
+            if not waiting.finished:
                 self._send(connection, waiting)
 
 
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -115,7 +115,7 @@
     sent: int
     until: int
     connection: Any = None
-    over: bool = False
+    finished: bool = False
 
 
 class GatewayIO(Protocol):
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -226,7 +226,7 @@
         for attempt in unsent:
             if anew:  # granted without knowing of the start: as the program does, it is decided anew
                 self._outcome(attempt, How.MOOT)
-            elif not attempt.over:
+            elif not attempt.finished:
                 self._send(conn, attempt)
 
     def not_reached(self, conn: Conn) -> None:
--- a/tansykeel/platform/connection.py
+++ b/tansykeel/platform/connection.py
@@ -161,7 +161,7 @@
         assert self.attempt is not None and self.reader is not None
         # Guards against a second answer of a store that was so late that the first was given up: where attempts may
         # not be cancelled, the connection outlives them.
-        given_up = self.attempt.over or self.attempt.held.answered
+        given_up = self.attempt.finished or self.attempt.held.answered
         return answer.lasts and not self.reader.behind and not given_up
 
     def _answered(self, answer: codec.Answer, reusable: bool) -> None:
--- a/tansykeel/platform/pool.py
+++ b/tansykeel/platform/pool.py
@@ -142,7 +142,7 @@
             connection.close(StoreConnectionEnd.IDLE)
         # Guards against answers that trickle without an end to tasks that have theirs.
         oldest = now - self.gateway.longest - ABANDONED_FOR
-        abandoned = [one for one in self.connections if one.attempt and one.attempt.over and one.sent_at < oldest]
+        abandoned = [one for one in self.connections if one.attempt and one.attempt.finished and one.sent_at < oldest]
         for connection in abandoned:
             connection.close(StoreConnectionEnd.ABANDONED)
 
@@ -215,7 +215,7 @@
         """
         while self.waiting:
             waiting = self.waiting.popleft()
-            if waiting.attempt.over:
+            if waiting.attempt.finished:
                 continue
             waiting.failed_connects += 1
             if retry and waiting.failed_connects < CONNECTS_PER_ATTEMPT:
@@ -292,7 +292,7 @@
         One whose client has said more is looked at again once that was read. Guards against an attempt for a client
         whose end has come and is not read yet, or to a store whose drain is not, on a busy loop or after a stall.
         """
-        while self.waiting and self.waiting[0].attempt.over:
+        while self.waiting and self.waiting[0].attempt.finished:
             self.waiting.popleft()
         attempts = (waiting.attempt for waiting in self.waiting)
         chosen = next((attempt for attempt in attempts if self.gateway.may_begin(attempt) is Verdict.NOW), None)
--- a/tansykeel/platform/request_rules.py
+++ b/tansykeel/platform/request_rules.py
@@ -39,7 +39,7 @@
 
 def attempt_may_begin(attempt: Attempt, *, client_caught_up: bool, list_caught_up: bool) -> Verdict:
     """Whether an attempt may be written now. `..._caught_up`: whether all that came from there was read."""
-    if attempt.over or attempt.held.answered:
+    if attempt.finished or attempt.held.answered:
         return Verdict.NEVER
     if not (client_caught_up and list_caught_up):
         return Verdict.LATER
--- a/tests/platform/test_second_answers.py
+++ b/tests/platform/test_second_answers.py
@@ -223,7 +223,7 @@
             connection = gateway_side(self.stage, writer)
             if connection is None:
                 return
-            await until(lambda: connection.attempt is None or connection.attempt.over)
+            await until(lambda: connection.attempt is None or connection.attempt.finished)
             self.given_up[writer] = answer
         self.seconds[way] = self.seconds.get(way, 0) + 1
         if way == "reset":
