--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -90,7 +90,7 @@
         request.size,
         held.task.units,
         request.shard,
-        max(attempt.until - now, 0) * MICROS,
+        max(attempt.deadline - now, 0) * MICROS,
         request.mark,
         category.writes,
         category.repeat.value,
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -113,7 +113,7 @@
     store: Store
     number: int
     sent: int
-    until: int
+    deadline: int
     connection: Any = None
     finished: bool = False
 
--- a/tansykeel/platform/connection.py
+++ b/tansykeel/platform/connection.py
@@ -108,7 +108,7 @@
         """Write the attempt's request; `now` by the core's clock."""
         wanted: Wanted = attempt.held.request
         request = wanted.request
-        seconds_left = max(attempt.until - now, 0) / TENTHS_PER_SECOND
+        seconds_left = max(attempt.deadline - now, 0) / TENTHS_PER_SECOND
         self.attempt = attempt
         attempt.connection = self
         self.reader = AnswerReader()
