--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -144,7 +144,7 @@
             return
         self.runner.move(now)
         attempt.finished = True
-        held, lag = attempt.held, self.runner.now - attempt.sent
+        held, lag = attempt.held, self.runner.now - attempt.sent_at
         held.out.remove(attempt)
         held.last_outcome = how.value
         self.counts.outcomes[how.value] = self.counts.outcomes.get(how.value, 0) + 1
@@ -314,7 +314,7 @@
     def _give_up(self, held: HeldTask, reason: str) -> None:
         """Answer a task outside of its generator. What is out for it is cancelled; nothing more is sent."""
         # Guards against a nack for a one-shot task whose hand-off is out: no outcome says yet that it never ran.
-        held.task.may_have_run += [(attempt.store, attempt.sent) for attempt in held.out]
+        held.task.may_have_run += [(attempt.store, attempt.sent_at) for attempt in held.out]
         want = self.brain.final(held.task)
         self._final(held, want, reason)
         if held.started and not self.runner.left(held.task):
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -112,7 +112,7 @@
     held: HeldTask
     store: Store
     number: int
-    sent: int
+    sent_at: int
     deadline: int
     connection: Any = None
     finished: bool = False
--- a/tansykeel/edge/trace.py
+++ b/tansykeel/edge/trace.py
@@ -35,7 +35,7 @@
     def handed_off(self, attempt: Attempt) -> None:
         """The task's span begins where it was taken, known once it is first handed off; each hand-off is an event."""
         held = attempt.held
-        span = self._open.get(held) or self._begin(held, attempt.sent)
+        span = self._open.get(held) or self._begin(held, attempt.sent_at)
         span.add_event("handed off", {"store": str(attempt.store.handle), "number": attempt.number})
 
     def answered(self, held: HeldTask, final: FinalAnswer) -> None:
