--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -116,7 +116,7 @@
         held.answered = True
         self.counts.left += 1
         if held.started and not self.runner.left(held.task):
-            for attempt in held.out:
+            for attempt in held.open_attempts:
                 self._take_back(attempt)
         self._let_go(held)
         self.runner.settle()
@@ -145,7 +145,7 @@
         self.runner.move(now)
         attempt.finished = True
         held, lag = attempt.held, self.runner.now - attempt.sent_at
-        held.out.remove(attempt)
+        held.open_attempts.remove(attempt)
         held.last_outcome = how.value
         self.counts.outcomes[how.value] = self.counts.outcomes.get(how.value, 0) + 1
         if how is How.DELIVERED and not held.answered:
@@ -238,7 +238,7 @@
         now = self.runner.now
         until = min(now + time_out, task.deadline) if time_out > 0 else task.deadline
         attempt = Attempt(held, store, task.hand_offs - 1, now, until)
-        held.out.append(attempt)
+        held.open_attempts.append(attempt)
         self.counts.hand_offs += 1
         self.runner.alarm(until, partial(self._attempt_timed_out, attempt))
         self.io.hand_off(attempt)
@@ -314,11 +314,11 @@
     def _give_up(self, held: HeldTask, reason: str) -> None:
         """Answer a task outside of its generator. What is out for it is cancelled; nothing more is sent."""
         # Guards against a nack for a one-shot task whose hand-off is out: no outcome says yet that it never ran.
-        held.task.may_have_run += [(attempt.store, attempt.sent_at) for attempt in held.out]
+        held.task.may_have_run += [(attempt.store, attempt.sent_at) for attempt in held.open_attempts]
         want = self.brain.final(held.task)
         self._final(held, want, reason)
         if held.started and not self.runner.left(held.task):
-            for attempt in held.out:
+            for attempt in held.open_attempts:
                 self.io.cancel(attempt)
         self._let_go(held)
 
@@ -340,7 +340,7 @@
 
     def _let_go(self, held: HeldTask) -> None:
         """Forget a task that has its answer and nothing out."""
-        if held.answered and not held.out and (held.client, held.id) in self.held:
+        if held.answered and not held.open_attempts and (held.client, held.id) in self.held:
             del self.held[held.client, held.id]
             if not held.started and held.task.key in self.coming:
                 self._whole(held)  # whoever waited for its body goes on
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -99,7 +99,7 @@
     memory: int
     missing: int  # bytes of its body still to come
     body: list[bytes] = field(default_factory=list)
-    out: list[Attempt] = field(default_factory=list)
+    open_attempts: list[Attempt] = field(default_factory=list)
     started: bool = False
     answered: bool = False
     last_outcome: str = ""  # of its last attempt that is over
--- a/tansykeel/platform/request_rules.py
+++ b/tansykeel/platform/request_rules.py
@@ -54,7 +54,7 @@
     if attempt.store.state is not State.READY:
         return Invariant.READY_STORE
     copies_allowed = allowed.copies and task.category.repeat is Repeat.HARMLESS
-    if len(held.out) > 1 and not copies_allowed:
+    if len(held.open_attempts) > 1 and not copies_allowed:
         return Invariant.ONE_ATTEMPT
     if task.may_have_run and task.category.repeat is Repeat.ONE_SHOT:
         return Invariant.NO_REPEAT
--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -249,7 +249,7 @@
             client, core = await stage.client(), stage.gateway.core
             client.writer.write(asking(1))
             await until(lambda: store.got)
-            attempt = next(iter(core.held.values())).out[0]
+            attempt = next(iter(core.held.values())).open_attempts[0]
             store.writers[0].write(ok())
             end(store.writers[0])
             core.runner.move(attempt.deadline)
