--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -88,12 +88,12 @@
         if not self.memory.take(client, asked.memory):
             return self._give_up(held, "no memory for its body")
         held.memory = asked.memory
-        if held.missing:  # guards against a body that never comes: the client is answered all the same
+        if held.body_missing:  # guards against a body that never comes: the client is answered all the same
             self.runner.alarm(held.task.deadline, partial(self._body_late, held))
             self.runner.settle()
         if held.task.category.ordered and held.task.key:
             self.coming.setdefault(held.task.key, deque()).append(held)
-        if not held.missing:
+        if not held.body_missing:
             self._whole(held)
 
     def receive_body(self, now: int, client: Any, id: Any, data: bytes) -> None:
@@ -102,8 +102,8 @@
         if held is None or held.answered or held.started:
             return
         held.body.append(data)
-        held.missing -= len(data)
-        if not held.missing:
+        held.body_missing -= len(data)
+        if not held.body_missing:
             self.runner.move(now)
             self._whole(held)
 
@@ -282,7 +282,7 @@
         line = self.coming.get(held.task.key) if held.task.category.ordered else None
         if line is None:
             return self._start(held)
-        while line and (line[0].answered or not line[0].missing):
+        while line and (line[0].answered or not line[0].body_missing):
             first = line.popleft()
             if not first.answered:
                 self._start(first)
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -97,7 +97,7 @@
     request: Any
     task: Task
     memory: int
-    missing: int  # bytes of its body still to come
+    body_missing: int  # bytes of its body still to come
     body: list[bytes] = field(default_factory=list)
     open_attempts: list[Attempt] = field(default_factory=list)
     started: bool = False
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -60,7 +60,7 @@
             client = await stage.client()
             client.ask("write", 500_000, body=b"")
             client.send_part(1, 60_000)
-            await until(lambda: any(h.missing == 440_000 for h in stage.edge.core.held.values()))
+            await until(lambda: any(h.body_missing == 440_000 for h in stage.edge.core.held.values()))
             assert stage.edge.core.memory.used == 500_000
             client.link.abort("vanishes", reset=True)
             await until(lambda: not stage.edge.core.held)
