--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -17,7 +17,7 @@
 from tansykeel.edge.tasks import (
     BROKEN_OFF,
     DELIVERED,
-    MICROS,
+    MICROSECONDS_PER_TICK,
     NACKED,
     Attempt,
     Bounds,
@@ -353,7 +353,7 @@
         """Take in when a store started. Of two starts the later is right: a late list must not undo a hello."""
         if not boot or self.boot_ids.get(store) == boot:
             return False
-        started = max(self.runner.now - age // MICROS, 1) if age else 0
+        started = max(self.runner.now - age // MICROSECONDS_PER_TICK, 1) if age else 0
         if store in self.boot_ids and started <= store.started:
             return False
         self.boot_ids[store], store.started = boot, started
--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any
 
-from tansykeel.edge.tasks import MICROS, MS, Attempt, Bounds, FinalAnswer, ParsedRequest
+from tansykeel.edge.tasks import MICROSECONDS_PER_TICK, MS, Attempt, Bounds, FinalAnswer, ParsedRequest
 from tansykeel.interface import Facts, Plan, Task, Volume, Word
 from tansykeel.protocol.frames import Answer, HandOffOf, Row, Share, TaskOf
 from tansykeel.settings.records import Gateway, Settings
@@ -40,7 +40,7 @@
         elif request.body not in ((request.size,) if category.writes else (0,)):
             fault = f"body of {request.body} bytes; legal: {request.size if category.writes else 0}"
         kind = category or next(iter(self.categories.values()))
-        patience = min(request.patience // MICROS, kind.deadline)
+        patience = min(request.patience // MICROSECONDS_PER_TICK, kind.deadline)
         # Answers are due a stall's length before the client gives up, but never in the first half of its patience.
         spare = min(int(gateway.stall_allowance_ms * MS), patience // 2)
         task = Task(
@@ -75,7 +75,7 @@
 
 
 def answer_of(final: FinalAnswer, body: list[bytes]) -> Answer:
-    return Answer(final.result, final.come_back * MICROS, final.shard, final.reason, sum(map(len, body)))
+    return Answer(final.result, final.come_back * MICROSECONDS_PER_TICK, final.shard, final.reason, sum(map(len, body)))
 
 
 def hand_off_of(attempt: Attempt, now: int) -> HandOffOf:
@@ -90,11 +90,11 @@
         request.size,
         held.task.units,
         request.shard,
-        max(attempt.deadline - now, 0) * MICROS,
+        max(attempt.deadline - now, 0) * MICROSECONDS_PER_TICK,
         request.mark,
         category.writes,
         category.repeat.value,
         category.scope.value,
-        category.window * MICROS,
+        category.window * MICROSECONDS_PER_TICK,
         request.body,
     )
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -11,7 +11,7 @@
 from tansykeel.runner import Run
 
 DELIVERED, NACKED, BROKEN_OFF = 0, 1, 2
-MICROS = 100  # microseconds in a tenth
+MICROSECONDS_PER_TICK = 100  # microseconds in a tenth
 MS = 10  # tenths in a millisecond
 
 
--- a/tansykeel/platform/discovery.py
+++ b/tansykeel/platform/discovery.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from tansykeel.edge.core import Core
-from tansykeel.edge.tasks import MICROS
+from tansykeel.edge.tasks import MICROSECONDS_PER_TICK
 from tansykeel.errors import Problem
 from tansykeel.http1 import codec
 from tansykeel.platform.config import PHASES, Member, Members
@@ -66,7 +66,7 @@
         if since:
             # wall clock: starts are told by it; of this and the first reading the younger age counts
             seconds = self.start_age.age(since, time.time(), time.monotonic(), known_without)
-            age = max(int(seconds * MICROSECONDS), MICROS)
+            age = max(int(seconds * MICROSECONDS), MICROSECONDS_PER_TICK)
         zone = self.zones.get(member.locality, 0)
         return Row(member.id, member.host_port, zone, member.cell, PHASES[member.phase], since, age)
 
