--- a/tansykeel/edge/clock.py
+++ b/tansykeel/edge/clock.py
@@ -9,7 +9,7 @@
 TENTH = 100_000  # nanoseconds
 EPOCH = 10**9  # the clock's first tenth, so that no time that matters is 0 or less
 TENTHS_PER_SECOND = 10_000
-MS = 10  # tenths in a millisecond
+TICKS_PER_MS = 10  # tenths in a millisecond
 MICROSECONDS = 100  # in a tenth
 LATE = 20  # tenths by which a reminder shows that the process stood still
 
@@ -40,7 +40,7 @@
         self._at = at
         # Up to whole milliseconds, which the loop's timers know: guards against a rest that is rounded to none, so
         # that the reminder comes too early again and again and the processor spins.
-        rest = max(-(-(at - clock() + 1) // MS), 1) / 1_000
+        rest = max(-(-(at - clock() + 1) // TICKS_PER_MS), 1) / 1_000
         self._handle = asyncio.get_event_loop().call_later(rest, self._remind, False)
 
     def _remind(self, read_first: bool) -> None:
--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any
 
-from tansykeel.edge.tasks import MICROSECONDS_PER_TICK, MS, Attempt, Bounds, FinalAnswer, ParsedRequest
+from tansykeel.edge.tasks import MICROSECONDS_PER_TICK, TICKS_PER_MS, Attempt, Bounds, FinalAnswer, ParsedRequest
 from tansykeel.interface import Facts, Plan, Task, Volume, Word
 from tansykeel.protocol.frames import Answer, HandOffOf, Row, Share, TaskOf
 from tansykeel.settings.records import Gateway, Settings
@@ -42,7 +42,7 @@
         kind = category or next(iter(self.categories.values()))
         patience = min(request.patience // MICROSECONDS_PER_TICK, kind.deadline)
         # Answers are due a stall's length before the client gives up, but never in the first half of its patience.
-        spare = min(int(gateway.stall_allowance_ms * MS), patience // 2)
+        spare = min(int(gateway.stall_allowance_ms * TICKS_PER_MS), patience // 2)
         task = Task(
             None,
             kind,
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -12,7 +12,7 @@
 
 DELIVERED, NACKED, BROKEN_OFF = 0, 1, 2
 MICROSECONDS_PER_TICK = 100  # microseconds in a tenth
-MS = 10  # tenths in a millisecond
+TICKS_PER_MS = 10  # tenths in a millisecond
 
 
 class StillHeld(Problem, ValueError):
