--- a/tansykeel/edge/clock.py
+++ b/tansykeel/edge/clock.py
@@ -8,7 +8,7 @@
 
 TENTH = 100_000  # nanoseconds
 EPOCH = 10**9  # the clock's first tenth, so that no time that matters is 0 or less
-TENTHS_PER_SECOND = 10_000
+TICKS_PER_SECOND = 10_000
 TICKS_PER_MS = 10  # tenths in a millisecond
 MICROSECONDS = 100  # in a tenth
 LATE = 20  # tenths by which a reminder shows that the process stood still
--- a/tansykeel/platform/connection.py
+++ b/tansykeel/platform/connection.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from tansykeel.edge.clock import TENTHS_PER_SECOND
+from tansykeel.edge.clock import TICKS_PER_SECOND
 from tansykeel.edge.tasks import Attempt
 from tansykeel.http1 import codec
 from tansykeel.http1.codec import AnswerReader, Malformed
@@ -108,7 +108,7 @@
         """Write the attempt's request; `now` by the core's clock."""
         wanted: Wanted = attempt.held.request
         request = wanted.request
-        seconds_left = max(attempt.deadline - now, 0) / TENTHS_PER_SECOND
+        seconds_left = max(attempt.deadline - now, 0) / TICKS_PER_SECOND
         self.attempt = attempt
         attempt.connection = self
         self.reader = AnswerReader()
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -14,7 +14,7 @@
 from socket import socket
 from typing import Any
 
-from tansykeel.edge.clock import TENTHS_PER_SECOND, WakeupTimer, clock
+from tansykeel.edge.clock import TICKS_PER_SECOND, WakeupTimer, clock
 from tansykeel.edge.core import Core
 from tansykeel.edge.tasks import DELIVERED, NACKED, Attempt, Bounds, FinalAnswer, HeldTask
 from tansykeel.http1 import codec
@@ -339,9 +339,9 @@
         now = self.loop.time()
         if not self.stalls.longest_unread(now):
             age = min(seconds_since_data(stream.sock) or 0.0, MOST_READ_FOR) if late else 0.0
-            return clock() - int(age * TENTHS_PER_SECOND)
+            return clock() - int(age * TICKS_PER_SECOND)
         age = self.stalls.age_of_bytes(now, seconds_since_data(stream.sock))
-        return clock() - int(age * TENTHS_PER_SECOND)
+        return clock() - int(age * TICKS_PER_SECOND)
 
     def _list_caught_up(self) -> bool:
         """Whether all that discovery has said was read; looked at only where the loop has stood still."""
