--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -208,7 +208,7 @@
         self.brain.heard(sender, word)
         self.runner.settle()
 
-    def tick(self, now: int) -> None:
+    def run_timers(self, now: int) -> None:
         self.runner.move(now)
         self.runner.reminded()
 
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -74,7 +74,7 @@
         self.hello = Hello(1, "edge", self.gateway.named(facts.me), self.incarnation, 0)
         self.hub = Hub(Limits(stall=settings.gateway.peer_stall_s))
         self.clients: set[Link] = set()
-        self._reminder = WakeupTimer(lambda now: self.core.tick(now))
+        self._reminder = WakeupTimer(lambda now: self.core.run_timers(now))
         self._asked = False
         self.listing: Listing | None = None
         self.failed = False
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -160,7 +160,7 @@
                 self.backlog.append((self._late, (ticket,)))
                 return
             self.reminder = 0
-            self.core.tick(self.clock())
+            self.core.run_timers(self.clock())
 
     def _late(self, ticket: int) -> None:
         """A reminder that fell into a stall: carried out after all that came in was read."""
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -352,7 +352,7 @@
     def _tick(self, now: int) -> None:
         """A time has come that the core asked for. Guards against a failure at one that loses those after it."""
         try:
-            self.core.tick(now)
+            self.core.run_timers(now)
         except Exception as error:
             self.failed("a reminder failed", error)
             self.core.runner.settle()
--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -38,7 +38,7 @@
             real = step_wall_clock(monkeypatch, step)
             stage.list.tell([store.row(up_since_ms=(real() - age) * 1000)])
             await until(lambda: stage.gateway.core.list_version == 6)
-            stage.gateway.core.tick(stage.gateway.stores.clock())
+            stage.gateway.core.run_timers(stage.gateway.stores.clock())
             assert 0 <= age_in_seconds(stage, "s0") <= age + 0.5
 
     play(go())
