--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -11,7 +11,7 @@
 from tansykeel.settings.records import Gateway, Settings
 
 
-class Native:
+class NativeProtocol:
     """The core's intake: volumes known from the settings, sizes counted from bytes."""
 
     def __init__(self, settings: Settings, facts: Facts) -> None:
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -20,7 +20,7 @@
 from tansykeel.edge.core import Core
 from tansykeel.edge.listing import Listing
 from tansykeel.edge.maintenance import LOOKS_EVERY, MaintenanceAgent
-from tansykeel.edge.native import Native, answer_of, bounds_of, known_of
+from tansykeel.edge.native import NativeProtocol, answer_of, bounds_of, known_of
 from tansykeel.edge.peers import Peers
 from tansykeel.edge.stores import Stores
 from tansykeel.edge.tasks import DELIVERED, Attempt, DecisionModule, FinalAnswer, HeldTask, StillHeld
@@ -79,7 +79,7 @@
         self.listing: Listing | None = None
         self.failed = False
         self.stopping = asyncio.Event()
-        self.native = Native(settings, facts)
+        self.native = NativeProtocol(settings, facts)
         self.peers: Peers | None = None
         state: State | None = None
         self.cluster_agent: ClusterAgent | None = None
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -14,7 +14,7 @@
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.messages import CODEC
 from tansykeel.edge.core import Core
-from tansykeel.edge.native import Native, answer_of, bounds_of, hand_off_of, known_of
+from tansykeel.edge.native import NativeProtocol, answer_of, bounds_of, hand_off_of, known_of
 from tansykeel.edge.tasks import Attempt, FinalAnswer, HeldTask
 from tansykeel.emulator.scene import Scene
 from tansykeel.emulator.ways import Conn, GatewayEnd, Line, StoreEnd
@@ -49,7 +49,7 @@
         self.asked = False
         scene = self.scene
         facts = scene.facts[self.index]
-        self.native = Native(scene.settings, facts)
+        self.native = NativeProtocol(scene.settings, facts)
         self.fellow = ClusterMemberHost(self) if scene.settings.peers and scene.settings.peers.agree else None
         self.core = Core(
             facts,
