--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -69,7 +69,7 @@
     return Bounds(gateway.open_tasks, gateway.body_memory, gateway.connection_memory)
 
 
-def known_of(settings: Settings) -> list[Row]:
+def configured_stores(settings: Settings) -> list[Row]:
     """The stores named in the settings, as a list would tell of them."""
     return [Row(row.name, row.address, row.zone, row.shard, "ready") for row in settings.stores]
 
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -20,7 +20,7 @@
 from tansykeel.edge.core import Core
 from tansykeel.edge.listing import Listing
 from tansykeel.edge.maintenance import LOOKS_EVERY, MaintenanceAgent
-from tansykeel.edge.native import NativeProtocol, answer_of, bounds_of, known_of
+from tansykeel.edge.native import NativeProtocol, answer_of, bounds_of, configured_stores
 from tansykeel.edge.peers import Peers
 from tansykeel.edge.stores import Stores
 from tansykeel.edge.tasks import DELIVERED, Attempt, DecisionModule, FinalAnswer, HeldTask, StillHeld
@@ -120,7 +120,7 @@
             clock(),
             bounds_of(self.gateway),
             self.native,
-            known_of(settings),
+            configured_stores(settings),
             decide,
             self._allotments(),
         )
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -14,7 +14,7 @@
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.messages import CODEC
 from tansykeel.edge.core import Core
-from tansykeel.edge.native import NativeProtocol, answer_of, bounds_of, hand_off_of, known_of
+from tansykeel.edge.native import NativeProtocol, answer_of, bounds_of, configured_stores, hand_off_of
 from tansykeel.edge.tasks import Attempt, FinalAnswer, HeldTask
 from tansykeel.emulator.scene import Scene
 from tansykeel.emulator.ways import Conn, GatewayEnd, Line, StoreEnd
@@ -58,7 +58,7 @@
             self.clock(),
             bounds_of(scene.settings.gateway),
             self.native,
-            known_of(scene.settings),
+            configured_stores(scene.settings),
             scene.decide,
             self.fellow.cluster_member.parts if self.fellow else None,
         )
