--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -74,7 +74,7 @@
     return [Row(row.name, row.address, row.zone, row.shard, "ready") for row in settings.stores]
 
 
-def answer_of(final: FinalAnswer, body: list[bytes]) -> Answer:
+def answer_frame(final: FinalAnswer, body: list[bytes]) -> Answer:
     return Answer(final.result, final.come_back * MICROSECONDS_PER_TICK, final.shard, final.reason, sum(map(len, body)))
 
 
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -20,7 +20,7 @@
 from tansykeel.edge.core import Core
 from tansykeel.edge.listing import Listing
 from tansykeel.edge.maintenance import LOOKS_EVERY, MaintenanceAgent
-from tansykeel.edge.native import NativeProtocol, answer_of, bounds_of, configured_stores
+from tansykeel.edge.native import NativeProtocol, answer_frame, bounds_of, configured_stores
 from tansykeel.edge.peers import Peers
 from tansykeel.edge.stores import Stores
 from tansykeel.edge.tasks import DELIVERED, Attempt, DecisionModule, FinalAnswer, HeldTask, StillHeld
@@ -205,7 +205,7 @@
     def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
         link: Link = held.client
         self._count(held, final)
-        link.send(held.id, answer_of(final, body))
+        link.send(held.id, answer_frame(final, body))
         if body:
             link.send_body(held.id, body, sent)
         else:
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -14,7 +14,7 @@
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.messages import CODEC
 from tansykeel.edge.core import Core
-from tansykeel.edge.native import NativeProtocol, answer_of, bounds_of, configured_stores, hand_off_of
+from tansykeel.edge.native import NativeProtocol, answer_frame, bounds_of, configured_stores, hand_off_of
 from tansykeel.edge.tasks import Attempt, FinalAnswer, HeldTask
 from tansykeel.emulator.scene import Scene
 from tansykeel.emulator.ways import Conn, GatewayEnd, Line, StoreEnd
@@ -145,7 +145,7 @@
 
     def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
         sent()
-        self.scene.clients.answer_on_its_way(self, held.id, answer_of(final, body))
+        self.scene.clients.answer_on_its_way(self, held.id, answer_frame(final, body))
 
     def set_wakeup(self, at: int) -> None:
         if self.reminder and at >= self.reminder:
