--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -78,7 +78,7 @@
     return Answer(final.result, final.come_back * MICROSECONDS_PER_TICK, final.shard, final.reason, sum(map(len, body)))
 
 
-def hand_off_of(attempt: Attempt, now: int) -> HandOffOf:
+def hand_off_frame(attempt: Attempt, now: int) -> HandOffOf:
     """What a store is told of a hand-off that leaves now."""
     held, request, category = attempt.held, attempt.held.request, attempt.held.task.category
     return HandOffOf(
--- a/tansykeel/edge/stores.py
+++ b/tansykeel/edge/stores.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from tansykeel.edge.core import Core
-from tansykeel.edge.native import hand_off_of
+from tansykeel.edge.native import hand_off_frame
 from tansykeel.edge.tasks import Attempt
 from tansykeel.interface import How, Store
 from tansykeel.protocol.codec import Codec, Event, Frame, Piece
@@ -130,7 +130,7 @@
         connection.count += 1
         connection.out[connection.count] = attempt
         attempt.connection = connection, connection.count
-        request = hand_off_of(attempt, self.stores.clock())
+        request = hand_off_frame(attempt, self.stores.clock())
         connection.link.send(connection.count, request)
         if request.body:
             connection.link.send_body(connection.count, attempt.held.body)
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -14,7 +14,7 @@
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.messages import CODEC
 from tansykeel.edge.core import Core
-from tansykeel.edge.native import NativeProtocol, answer_frame, bounds_of, configured_stores, hand_off_of
+from tansykeel.edge.native import NativeProtocol, answer_frame, bounds_of, configured_stores, hand_off_frame
 from tansykeel.edge.tasks import Attempt, FinalAnswer, HeldTask
 from tansykeel.emulator.scene import Scene
 from tansykeel.emulator.ways import Conn, GatewayEnd, Line, StoreEnd
@@ -210,7 +210,7 @@
 
     def _send(self, conn: Conn, attempt: Attempt) -> None:
         attempt.connection = conn
-        request = hand_off_of(attempt, self.clock())
+        request = hand_off_frame(attempt, self.clock())
         work = conn.works[attempt] = Work((conn, attempt), self.name, request)
         way = self.scene.ways.to_store(self, conn.store) + self.scene.ways.wire_time(request.body)
         self.engine.at(conn.there.arrival(self.engine.now + way), conn.store.arrive, conn, work)
