--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -56,7 +56,7 @@
         )
         return ParsedRequest(task, request.body, request.size, fault)
 
-    def word_of(self, share: Share) -> Word | None:
+    def word_from_share(self, share: Share) -> Word | None:
         """Another gateway's word; None for one on a volume that is not in the settings here: not acted on."""
         volume = self.volumes.get(share.volume) if share.volume is not None else None
         return Word(volume, share.units, share.gift) if volume is not None or share.volume is None else None
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -306,7 +306,7 @@
         """Another gateway says something, on whichever connection there is."""
         match word:
             case Share():
-                if told := self.native.word_of(word):
+                if told := self.native.word_from_share(word):
                     self.core.receive_peer_message(clock(), word.sender, told)
             case Watch():
                 if self.cluster_agent and link.peer:
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -138,7 +138,7 @@
             self.fellow.heard(sender, word)
 
     def share(self, share: Share) -> None:
-        if word := self.native.word_of(share):
+        if word := self.native.word_from_share(share):
             self.core.receive_peer_message(self.clock(), share.sender, word)
 
     # GatewayIO: what the core wants done
