--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -61,7 +61,7 @@
         volume = self.volumes.get(share.volume) if share.volume is not None else None
         return Word(volume, share.units, share.gift) if volume is not None or share.volume is None else None
 
-    def share_of(self, word: Word) -> Share:
+    def share_from_word(self, word: Word) -> Share:
         return Share(self.facts.me, word.volume.handle if word.volume else None, word.units, word.gift)
 
 
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -247,7 +247,7 @@
 
     def send_to_peer(self, peer: int | None, word: Word) -> None:
         if self.peers:
-            self.peers.tell(peer, Urgency.HINT, self.native.share_of(word))
+            self.peers.tell(peer, Urgency.HINT, self.native.share_from_word(word))
 
     def log_event(self, event: str, **fields: Any) -> None:
         self.log.info(event, **fields)
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -171,7 +171,7 @@
         self.engine.after(self.scene.ways.to_list(), self.scene.list.ask, self, self.life)
 
     def send_to_peer(self, peer: int | None, word: Word) -> None:
-        share = self.native.share_of(word)
+        share = self.native.share_from_word(word)
         for other in self.fleet if peer is None else [self.fleet[peer]]:
             if other.alive and other is not self:
                 self.engine.after(self.scene.ways.client(), other.tell, other.life, other.share, share)
