--- a/benchmarks/control_drills.py
+++ b/benchmarks/control_drills.py
@@ -33,7 +33,7 @@
     processes,
 )
 
-from tansykeel.edge.ask import NotTold, ask, request  # noqa: E402
+from tansykeel.edge.ask import NotTold, query_fleet, request  # noqa: E402
 from tansykeel.protocol.frames import ControlStatus, ControlStatusRequest  # noqa: E402
 
 USUAL_TERMS = "lease_ms = 3000, heartbeat_ms = 1000, ping_ms = 300"
@@ -79,7 +79,7 @@
     async def _in_whole_view(self, number: int, address: str) -> bool:
         try:
             told = await self.status(number)
-            return bool(told.active and told.leased) and len((await ask(address, 2)).members) == NODES
+            return bool(told.active and told.leased) and len((await query_fleet(address, 2)).members) == NODES
         except NotTold:
             return False
 
--- a/tansykeel/cli/fleet.py
+++ b/tansykeel/cli/fleet.py
@@ -42,11 +42,11 @@
     import msgspec
 
     from tansykeel.cli.show import cluster_agent
-    from tansykeel.edge.ask import NotTold, ask
+    from tansykeel.edge.ask import NotTold, query_fleet
 
     legal("timeout", timeout, 0.1, 600)
     try:
-        told = asyncio.run(ask(address, timeout))
+        told = asyncio.run(query_fleet(address, timeout))
     except NotTold as error:
         fail(error, address)
     if json_:
@@ -70,10 +70,10 @@
     """
     import asyncio
 
-    from tansykeel.edge.ask import NotTold, ask, go_without
+    from tansykeel.edge.ask import NotTold, go_without, query_fleet
 
     try:
-        told = asyncio.run(ask(address, 5.0))
+        told = asyncio.run(query_fleet(address, 5.0))
         typer.echo(
             f"taken for granted: no process runs under {', '.join(names)}; "
             f"{told.name} forms a view of all other names once each of them is there"
--- a/tansykeel/edge/ask.py
+++ b/tansykeel/edge/ask.py
@@ -24,7 +24,7 @@
     code = NOT_PLAYED
 
 
-async def ask(address: str, seconds: float) -> FleetTold:
+async def query_fleet(address: str, seconds: float) -> FleetTold:
     """What a gateway believes of its fleet. Raises NotTold, also for an address that is none."""
     return await request(address, FleetAsk(), FleetTold, seconds)
 
--- a/tansykeel/rehearse/agents.py
+++ b/tansykeel/rehearse/agents.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from tansykeel.audit.records import Left, Recorder, now_us
-from tansykeel.edge.ask import NotTold, ask, say
+from tansykeel.edge.ask import NotTold, query_fleet, say
 from tansykeel.errors import Problem
 from tansykeel.maintenance.controller import Ask, Order, plan_of
 from tansykeel.maintenance.entries import Move, Recover
@@ -80,7 +80,7 @@
 
     async def _is_whole(self) -> bool:
         try:
-            return (await ask(f"127.0.0.1:{self.machines.ports[self.index]}", ANSWERS_WITHIN)).leased > 0
+            return (await query_fleet(f"127.0.0.1:{self.machines.ports[self.index]}", ANSWERS_WITHIN)).leased > 0
         except NotTold:
             return False
 
--- a/tests/edge/test_cluster_agent.py
+++ b/tests/edge/test_cluster_agent.py
@@ -10,7 +10,7 @@
 import pytest
 from stage import FakeStore, deliver, free_address, play, settings_with
 
-from tansykeel.edge.ask import NotTold, ask
+from tansykeel.edge.ask import NotTold, query_fleet
 from tansykeel.edge.program import Edge
 from tansykeel.settings.build import facts_of
 from tansykeel.transport.sockets import listening
@@ -107,14 +107,14 @@
                     cluster_agent.cluster_member.failure_detector.others["edge-4"].seems.name == "DEAD"
                 )
             )
-            told = await ask(gateways.addresses[0], 5)
+            told = await query_fleet(gateways.addresses[0], 5)
             assert (told.name, told.number, told.leased, told.part) == ("edge-0", 0, 0, float(SAFE))
             seen = {other.name: (other.seems, other.link) for other in told.others}
             assert seen["edge-1"] == ("alive", "up") and seen["edge-4"][1] != "up"
             for number in (3, 4):
                 await gateways.start(number)
             await gateways.until(settled(5))
-            told = await ask(gateways.addresses[3], 5)
+            told = await query_fleet(gateways.addresses[3], 5)
             assert told.leased and told.active and told.part == float(EACH) and len(told.members) == 5
             assert (
                 sorted(told.voters) == sorted(name for name, _ in told.members) == gateways.edges[0].cluster_agent.names
@@ -128,11 +128,11 @@
         async with fleet(agree="agree = False") as gateways:
             await gateways.start(0)
             with pytest.raises(NotTold, match=r"peers\(agree = True\)"):
-                await ask(gateways.addresses[0], 5)
+                await query_fleet(gateways.addresses[0], 5)
             with pytest.raises(NotTold):
-                await ask(gateways.addresses[1], 5)
+                await query_fleet(gateways.addresses[1], 5)
             with pytest.raises(NotTold, match="host:port"):
-                await ask("nowhere", 5)
+                await query_fleet("nowhere", 5)
 
     play(go(), 20)
 
@@ -187,7 +187,7 @@
     async def answer(address, seconds):
         return told
 
-    monkeypatch.setattr(asking, "ask", answer)
+    monkeypatch.setattr(asking, "query_fleet", answer)
     shown = CliRunner().invoke(app, ["fleet", "status", "h:1"])
     assert shown.exit_code == 0 and "view 3" in shown.output and "suspect" in shown.output
     parsed = json.loads(CliRunner().invoke(app, ["fleet", "status", "h:1", "--json"]).output)
