--- a/tansykeel/cli/accord.py
+++ b/tansykeel/cli/accord.py
@@ -22,12 +22,12 @@
     Exit."""
     import asyncio
 
-    from tansykeel.edge.ask import NotTold, say
+    from tansykeel.edge.ask import NotTold, exchange_maintenance
     from tansykeel.maintenance.messages import Elsewhere
 
     try:
         for _ in range(HOPS):
-            answer = asyncio.run(say(address, word, 5.0))
+            answer = asyncio.run(exchange_maintenance(address, word, 5.0))
             if not isinstance(answer, Elsewhere):
                 return answer
             if not answer.address:
--- a/tansykeel/edge/ask.py
+++ b/tansykeel/edge/ask.py
@@ -34,7 +34,7 @@
     return await request(address, FleetWithout(names), FleetTold, seconds)
 
 
-async def say(address: str, word: MaintenanceMessage, seconds: float) -> MaintenanceMessage:
+async def exchange_maintenance(address: str, word: MaintenanceMessage, seconds: float) -> MaintenanceMessage:
     """Say something of leave to a gateway; its answer. Raises NotTold, also for an address that is none."""
     told = await request(address, Accord(*CODEC.encode(word)), AccordTold, seconds)
     try:
--- a/tansykeel/rehearse/agents.py
+++ b/tansykeel/rehearse/agents.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from tansykeel.audit.records import Left, Recorder, now_us
-from tansykeel.edge.ask import NotTold, query_fleet, say
+from tansykeel.edge.ask import NotTold, exchange_maintenance, query_fleet
 from tansykeel.errors import Problem
 from tansykeel.maintenance.controller import Ask, Order, plan_of
 from tansykeel.maintenance.entries import Move, Recover
@@ -67,7 +67,7 @@
         self.asks, self.leader = self.asks + 1, ""
         boot = self.machines.starts(self.index)
         try:
-            told = await say(
+            told = await exchange_maintenance(
                 f"127.0.0.1:{self.machines.ports[to]}", Ask(self.name, boot, self.went, whole), ANSWERS_WITHIN
             )
         except NotTold:
@@ -129,7 +129,7 @@
         """To whoever leads: each is asked in turn."""
         for port in self.ports:
             try:
-                told = await say(f"127.0.0.1:{port}", word, ANSWERS_WITHIN)
+                told = await exchange_maintenance(f"127.0.0.1:{port}", word, ANSWERS_WITHIN)
             except NotTold:
                 continue
             if isinstance(told, Status | Taken):
