--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -64,7 +64,7 @@
         trace: Trace | None = None,
         sample: int = 100,
         decide: Callable[..., DecisionModule] = Scheduler,
-        counted: Counted | None = None,
+        allotment_observer: Counted | None = None,
         claimed: ClaimObserver | None = None,
     ) -> None:
         self.settings, self.gateway = settings, settings.gateway
@@ -105,7 +105,7 @@
                     self.peers,
                     self.log,
                     lambda: time.time_ns() // 1_000_000,
-                    counted,
+                    allotment_observer,
                     state,
                 )
         self.control_session: ControlSession | None = None
--- a/tests/broken_edge.py
+++ b/tests/broken_edge.py
@@ -89,7 +89,7 @@
     facts = globals()[told.fault](facts_of(made, told.number, told.count))
 
     async def serve():
-        edge = Edge(made, facts, told.seed, counted=allotment_recorder(told.record) if told.record else None)
+        edge = Edge(made, facts, told.seed, allotment_observer=allotment_recorder(told.record) if told.record else None)
         leash(edge.stopping.set)
         await edge.serve(lambda port: print(json.dumps({"port": port}), flush=True))
 
--- a/tests/edge/test_cluster_agent.py
+++ b/tests/edge/test_cluster_agent.py
@@ -32,7 +32,7 @@
             facts_of(self.made, number, len(self.addresses)),
             1,
             sample=10**9,
-            counted=lambda *told: self.counted.append(told),
+            allotment_observer=lambda *told: self.counted.append(told),
         )
         self.edges[number] = edge
         self.serving[number] = asyncio.create_task(edge.serve(port.set_result))
