--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -65,7 +65,7 @@
         sample: int = 100,
         decide: Callable[..., DecisionModule] = Scheduler,
         allotment_observer: Counted | None = None,
-        claimed: ClaimObserver | None = None,
+        claim_observer: ClaimObserver | None = None,
     ) -> None:
         self.settings, self.gateway = settings, settings.gateway
         self.log = structlog.get_logger().bind(gateway=self.gateway.named(facts.me))
@@ -111,7 +111,7 @@
         self.control_session: ControlSession | None = None
         if settings.control:
             self.control_session = control_session_of(
-                settings, facts.me, self.incarnation, seed, self.hub, self.log, claimed
+                settings, facts.me, self.incarnation, seed, self.hub, self.log, claim_observer
             )
         self.core = Core(
             facts,
--- a/tests/edge/test_control_session.py
+++ b/tests/edge/test_control_session.py
@@ -232,7 +232,7 @@
         )
         settings = settings_of(text)
         port, claims = asyncio.get_running_loop().create_future(), []
-        edge = Edge(settings, facts_of(settings, 1, 2), 1, claimed=lambda *claim: claims.append(claim[3].units))
+        edge = Edge(settings, facts_of(settings, 1, 2), 1, claim_observer=lambda *claim: claims.append(claim[3].units))
         serving = asyncio.create_task(edge.serve(port.set_result))
         await port
         assert edge.core.runner.parts.earned(clock(), clock())[1] == pytest.approx(0.2)
