--- a/tests/control_node_script.py
+++ b/tests/control_node_script.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from stage import BASE, USUAL, free_address
+from stage import BASE, DEFAULTS, free_address
 
 from tansykeel.control.actions import WHOLE_UNITS
 from tansykeel.protocol.codec import Codec, Frame
@@ -88,7 +88,7 @@
 
 def control_settings(addresses, gateways=20, extra="", lease_ms=LEASE_MS, heartbeat_ms=HEARTBEAT_MS):
     """Settings of one region with control nodes n0, n1 ... at these addresses, and a store that is never there."""
-    text = BASE.format(**USUAL) + extra
+    text = BASE.format(**DEFAULTS) + extra
     text += f'store("s0", address = "{free_address()}", shard = 0)\n' if "store(" not in extra else ""
     text += (
         f'control(cluster = "ours", lease_ms = {lease_ms}, heartbeat_ms = {heartbeat_ms}, ping_ms = 100)\n'
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -36,7 +36,7 @@
 sizes(largest = 300, usual = 1)
 rules({rules})
 """
-USUAL = {
+DEFAULTS = {
     "stall": 5,
     "memory": 64 << 20,
     "connect": 500,
@@ -190,7 +190,7 @@
 
 
 def settings_with(stores, extra="", **changes):
-    text = BASE.format(**(USUAL | changes)) + extra
+    text = BASE.format(**(DEFAULTS | changes)) + extra
     text += "".join(f'store("{s.name}", address = "{s.address}", shard = {s.shard})\n' for s in stores)
     collected = Script()
     script.run_text(text, Path("test.star"), collected.verbs())
