--- a/tests/control_plane/test_control_processes.py
+++ b/tests/control_plane/test_control_processes.py
@@ -6,7 +6,7 @@
 import signal
 
 from control_stage import REGION_UNITS, gateways, processes, until
-from stage import play
+from stage import run_test
 
 from tansykeel.edge.ask import request
 from tansykeel.protocol.frames import ControlStatus, ControlStatusRequest
@@ -49,7 +49,7 @@
                 await asyncio.sleep(1)  # a part that is too large would have grown to its size by now
         assert max(sums) <= REGION_UNITS
 
-    play(go())
+    run_test(go())
 
 
 def test_a_leader_killed_leaves_the_others_leases_alone_and_its_own_move_within_twelve_seconds(tmp_path):
@@ -74,7 +74,7 @@
                 assert min(sums[killed_at:]) > 0
         assert max(sums) <= REGION_UNITS
 
-    play(go(), 60)
+    run_test(go(), 60)
 
 
 def test_all_nodes_killed_and_returned_grant_again_and_meanwhile_leases_end_by_themselves(tmp_path):
@@ -88,7 +88,7 @@
             await until(lambda: sum(gateway.counted() for gateway in held) >= ALMOST_ALL)
         assert max(sums) <= REGION_UNITS
 
-    play(go(), 60)
+    run_test(go(), 60)
 
 
 def test_a_node_told_to_end_lets_its_gateways_go_and_ends_in_time(tmp_path):
@@ -99,7 +99,7 @@
                 assert await nodes[0].end(signal.SIGTERM) == 0
             await until(lambda: all(gateway.counted() and gateway.node != "n0" for gateway in held))
 
-    play(go())
+    run_test(go())
 
 
 def test_a_node_alone_holds_no_lease_and_grants_nothing(tmp_path):
@@ -115,4 +115,4 @@
             told = await status(addresses[0])
             assert (told.leased, told.budget, told.units_granted) == (0, 0, 0)
 
-    play(go())
+    run_test(go())
--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -8,7 +8,7 @@
 
 import pytest
 from control_stage import REGION_UNITS, Connection, Gateway, one_node, until, written
-from stage import play
+from stage import run_test
 from typer.testing import CliRunner
 
 from tansykeel.cli.main import app
@@ -86,7 +86,7 @@
             assert says in await wrong.error()
             assert await served.renew() and served.counted() == REGION_UNITS
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize(
@@ -108,7 +108,7 @@
             others = program.agent.node.member.failure_detector.others
             assert others["n1"].life == 0, "a message of it was taken"
 
-    play(go())
+    run_test(go())
 
 
 def test_a_gateway_whose_connection_ends_holds_no_session_any_more(tmp_path):
@@ -119,7 +119,7 @@
             served.connection.link.abort("the process is gone", reset=True)
             await until(lambda: program.agent.status().sessions == 0, 0.5)
 
-    play(go())
+    run_test(go())
 
 
 def test_a_node_that_ends_says_goodbye_first(tmp_path):
@@ -129,7 +129,7 @@
             program.stopping.set()
             assert isinstance(await served.connection.received.get(), Goodbye)
 
-    play(go())
+    run_test(go())
 
 
 def test_connections_over_the_bound_are_told_so_and_those_there_are_served(tmp_path):
@@ -143,7 +143,7 @@
             assert "2 connections are open here already" in await late.error()
             assert await served.renew()
 
-    play(go())
+    run_test(go())
 
 
 def test_a_connection_on_which_nothing_comes_is_closed_and_one_with_heartbeats_is_not(tmp_path, monkeypatch):
@@ -160,7 +160,7 @@
             assert "nothing came for 0.6 s" in await silent
             assert await served.renew()
 
-    play(go())
+    run_test(go())
 
 
 def test_a_peer_that_reads_nothing_is_dropped_and_holds_little_memory(tmp_path):
@@ -181,7 +181,7 @@
             sending.cancel()
             deaf.close()
 
-    play(go())
+    run_test(go())
 
 
 def test_a_view_is_formed_without_names_that_an_operator_says_never_come(tmp_path):
@@ -195,7 +195,7 @@
                 await asyncio.sleep(0.1)
             assert [name for name, _ in told.members] == ["n0"] and told.part == 0
 
-    play(go())
+    run_test(go())
 
 
 def test_a_core_that_fails_ends_the_program_with_the_code_for_that(tmp_path, monkeypatch):
@@ -208,7 +208,7 @@
         monkeypatch.setattr(ControlNode, "tick", fails)
         assert await program.serve() == EXIT_FAILED
 
-    play(go())
+    run_test(go())
 
 
 def test_control_status_shows_a_table_or_json_and_its_code_tells_of_the_lease(tmp_path):
@@ -226,7 +226,7 @@
         gone = await run(address)
         assert gone.exit_code == 3 and "look whether it runs" in gone.output
 
-    play(go())
+    run_test(go())
 
 
 def test_a_node_without_a_lease_is_told_by_the_exit_code(tmp_path):
@@ -235,7 +235,7 @@
             told = await asyncio.to_thread(CliRunner().invoke, app, ["control-status", address])
             assert told.exit_code == 1 and "no lease: it grants nothing" in told.output
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize(
--- a/tests/edge/test_cluster_agent.py
+++ b/tests/edge/test_cluster_agent.py
@@ -8,7 +8,7 @@
 from fractions import Fraction
 
 import pytest
-from stage import FakeStore, deliver, free_address, play, settings_with
+from stage import FakeStore, deliver, free_address, run_test, settings_with
 
 from tansykeel.edge.ask import NotTold, query_fleet
 from tansykeel.edge.program import Edge
@@ -94,7 +94,7 @@
             await gateways.until(settled(5))
             assert gateways.edges[4].cluster_agent.view.number == first + 2
 
-    play(go(), 40)
+    run_test(go(), 40)
 
 
 def test_an_operator_is_told_what_a_gateway_believes():
@@ -120,7 +120,7 @@
                 sorted(told.voters) == sorted(name for name, _ in told.members) == gateways.edges[0].cluster_agent.names
             )
 
-    play(go(), 40)
+    run_test(go(), 40)
 
 
 def test_who_agrees_with_nobody_says_so():
@@ -134,7 +134,7 @@
             with pytest.raises(NotTold, match="host:port"):
                 await query_fleet("nowhere", 5)
 
-    play(go(), 20)
+    run_test(go(), 20)
 
 
 def test_a_gateway_that_takes_connections_and_says_nothing_holds_up_no_other():
@@ -161,7 +161,7 @@
             await gateways.start(4)
             await gateways.until(settled(5))
 
-    play(go(), 40)
+    run_test(go(), 40)
 
 
 def test_the_command_shows_a_table_or_json(monkeypatch):
--- a/tests/edge/test_control_session.py
+++ b/tests/edge/test_control_session.py
@@ -8,7 +8,7 @@
 import pytest
 import structlog
 from control_node_script import HEARTBEAT_MS, LEASE_MS, UNITS, ScriptedNode, control_settings, settings_of
-from stage import FakeStore, deliver, free_address, play, until
+from stage import FakeStore, deliver, free_address, run_test, until
 from structlog.testing import capture_logs
 
 from tansykeel.audit.records import LeaseClaimed, read
@@ -92,7 +92,7 @@
             assert {claim[1:3] for claim in made.claims} == {("edge-3", 77)} and not made.without_lease()
             assert made.claims[-1][3].units == UNITS
 
-    play(go())
+    run_test(go())
 
 
 async def lose_silently(node):
@@ -125,7 +125,7 @@
             assert not made.without_lease() and [log["event"] for log in logs][:3] == events
             assert len(made.ended_traffic) == 1 and made.ended_traffic[0].bytes_sent > 100
 
-    play(go())
+    run_test(go())
 
 
 def test_a_session_comes_back_after_the_time_it_was_told():
@@ -143,7 +143,7 @@
             rejected = [log for log in logs if log["event"] == "session rejected"]
             assert rejected[0]["reason"] == "too many new sessions" and rejected[0]["retry_after_ms"] == 50
 
-    play(go())
+    run_test(go())
 
 
 def test_a_node_of_another_cluster_is_an_error_with_advice_and_the_next_one_is_asked():
@@ -158,7 +158,7 @@
             assert len(errors) == 1 and "theirs" in errors[0]["what"] and "control(...)" in errors[0]["do"]
             assert not made.leased_by(made.first)
 
-    play(go())
+    run_test(go())
 
 
 def test_an_address_of_something_else_than_a_control_node_is_named_and_the_next_one_is_asked():
@@ -173,7 +173,7 @@
             assert "role 'store'" in lost[0]["reason"] and lost[0]["node"] == made.first.name
             assert not made.leased_by(made.first)
 
-    play(go())
+    run_test(go())
 
 
 def test_a_closed_session_counts_by_nothing_before_its_node_hears_of_it_and_sends_no_more():
@@ -191,7 +191,7 @@
             await asyncio.sleep(3 * HEARTBEAT_MS / 1_000)
             assert len(made.first.received) == received and not made.second.received
 
-    play(go())
+    run_test(go())
 
 
 def test_an_aborted_session_says_nothing():
@@ -204,7 +204,7 @@
             await until(lambda: not made.first.links)
             assert not made.first.of(SessionClose) and made.session.ended
 
-    play(go())
+    run_test(go())
 
 
 def test_claims_are_recorded_as_they_change(tmp_path):
@@ -216,7 +216,7 @@
             await until(lambda: made.leased_by(made.first))
             made.session.close()
 
-    play(go())
+    run_test(go())
     claims = list(read(tmp_path / "claims"))
     assert all(isinstance(claim, LeaseClaimed) and claim.incarnation == 77 for claim in claims)
     assert not claims[0].node and claims[1].units == UNITS and claims[-1].until == 0
@@ -249,4 +249,4 @@
             await node.stop()
         await store.stop()
 
-    play(go())
+    run_test(go())
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from stage import FakeStore, deliver, hang, play, reset, staged, tell, until
+from stage import FakeStore, deliver, hang, reset, run_test, staged, tell, until
 
 from tansykeel.brain.cold import BY_ASKED
 from tansykeel.protocol.frames import Cancel, Cut, Error, Goodbye, OutcomeOf, TaskOf
@@ -33,7 +33,7 @@
             assert got[0] == b"w" * 200_000 and client.bodies[task] == bytes([9]) * 300_000
             assert stage.edge.core.memory.used == 0 and not stage.edge.core.held
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
             answer = await client.answer(client.ask(**ask))
             assert answer.result == NACKED and says in answer.reason
 
-    play(go())
+    run_test(go())
 
 
 def test_a_client_that_vanishes_in_the_middle_of_a_body_leaves_nothing_behind():
@@ -68,7 +68,7 @@
             other = await stage.client()
             assert (await other.answer(other.ask())).result == DELIVERED
 
-    play(go())
+    run_test(go())
 
 
 def test_of_two_bodies_that_interleave_one_breaks_off_and_the_other_arrives():
@@ -86,7 +86,7 @@
             await until(lambda: not stage.edge.core.held)
             assert [h.task for h in stage.stores[0].handed][-1] == second and first not in client.answers
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("first_ends", ["whole", "cut"])
@@ -111,7 +111,7 @@
             await until(lambda: not stage.edge.core.held)
             assert not stage.edge.core.coming
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("category, result, handed", [("write", DELIVERED, 2), ("post", BROKEN_OFF, 1)])
@@ -127,7 +127,7 @@
             assert (await client.answer(client.ask(category, 100_000))).result == result
             assert [h.number for h in stage.stores[0].handed] == list(range(handed))
 
-    play(go())
+    run_test(go())
 
 
 def test_a_stamped_task_goes_again_over_a_reset_with_its_mark():
@@ -141,7 +141,7 @@
             first, again = stage.stores[0].handed
             assert first.mark == again.mark and again.repeat == "stamped" and not stage.stores[1].handed
 
-    play(go())
+    run_test(go())
 
 
 def test_a_store_that_resets_each_connection_counts_as_not_reached():
@@ -155,7 +155,7 @@
             assert (await client.answer(client.ask("post", patience=1.5))).result == NACKED
             assert stage.edge.core.counts.outcomes["no connection"] >= 1
 
-    play(go())
+    run_test(go())
 
 
 def test_a_store_that_accepts_and_says_nothing_counts_as_not_reached():
@@ -167,7 +167,7 @@
             assert (await client.answer(client.ask("post", patience=2))).result == NACKED
             assert stage.edge.core.counts.outcomes["no connection"] >= 1 and not store.handed
 
-    play(go())
+    run_test(go())
 
 
 def test_a_store_that_never_answers_costs_its_client_no_answer():
@@ -179,7 +179,7 @@
             assert (await client.answer(one_shot)).result == BROKEN_OFF
             await until(lambda: len(stage.stores[0].cancelled) == len(stage.stores[0].handed))
 
-    play(go())
+    run_test(go())
 
 
 def test_a_full_store_is_tried_again_within_the_hand_offs_allowed():
@@ -189,7 +189,7 @@
             assert (await client.answer(client.ask("post", patience=3))).result == NACKED
             assert 1 <= len(stage.stores[0].handed) <= 3
 
-    play(go())
+    run_test(go())
 
 
 def test_a_drain_told_while_ten_hand_offs_are_out_lets_them_end_and_sends_nothing_new():
@@ -212,7 +212,7 @@
             assert [(await client.answer(task)).result for task in tasks] == [DELIVERED] * 10
             assert len(stage.stores[0].handed) == 10
 
-    play(go())
+    run_test(go())
 
 
 def test_a_replacement_under_a_new_id_gets_what_was_held_for_its_shard():
@@ -226,7 +226,7 @@
             assert not old.handed and len(new.handed) == 1
         await new.stop()
 
-    play(go())
+    run_test(go())
 
 
 def test_a_store_whose_hello_tells_a_new_boot_counts_as_cold_before_the_first_hand_off():
@@ -243,7 +243,7 @@
             assert NACKED in results and 1 <= sum(h.units for h in store.handed) <= 12 * BY_ASKED * 2 * 2 * 0.2 + 1.5
             assert stage.edge.core.counts.outcomes["moot"] == 1  # granted before the hello, not sent
 
-    play(go())
+    run_test(go())
 
 
 def test_clients_with_a_short_patience_are_answered_within_it():
@@ -257,7 +257,7 @@
             await until(lambda: not held)
             assert loop.time() - begun < 5  # its category's deadline: far later than its patience
 
-    play(go())
+    run_test(go())
 
 
 def test_a_client_that_cancels_has_its_work_cancelled_and_no_answer():
@@ -277,7 +277,7 @@
             await until(lambda: not stage.edge.core.held)
             assert stage.edge.core.counts.outcomes == {"cancelled": 1} and not client.answers
 
-    play(go())
+    run_test(go())
 
 
 def test_without_memory_for_a_body_the_task_is_nacked_at_once():
@@ -289,7 +289,7 @@
             answer = await client.answer(client.ask("write", 900_000, patience=30))
             assert answer.result == NACKED and "memory" in answer.reason
 
-    play(go())
+    run_test(go())
 
 
 def test_a_thousand_clients_that_do_not_read_their_answers_hold_bounded_memory_and_are_dropped():
@@ -312,7 +312,7 @@
                 results.append((await other.answer(other.ask())).result)
                 await asyncio.sleep(0.1)
 
-    play(go(), 60)
+    run_test(go(), 60)
 
 
 def test_a_task_id_used_twice_ends_that_connection_and_no_other():
@@ -326,7 +326,7 @@
             task = good.ask(patience=0.4)
             assert (await good.answer(task)).result == NACKED
 
-    play(go())
+    run_test(go())
 
 
 def test_sigterm_answers_what_is_held_and_takes_nothing_new():
@@ -344,7 +344,7 @@
             await client.lost.wait()
         assert stage.code == 0
 
-    play(go())
+    run_test(go())
 
 
 def test_what_was_on_its_way_when_the_gateway_was_told_to_end_is_answered():
@@ -361,7 +361,7 @@
             await client.lost.wait()
         assert stage.code == 0
 
-    play(go())
+    run_test(go())
 
 
 def test_idle_connections_to_stores_are_closed_under_pressure():
@@ -374,7 +374,7 @@
             await until(lambda: not any(pool.connections for pool in stage.edge.stores.pools.values()))
             assert (await client.answer(client.ask())).result == DELIVERED
 
-    play(go())
+    run_test(go())
 
 
 def test_who_waits_in_the_listeners_queue_at_the_end_is_told_so():
@@ -396,4 +396,4 @@
             for sock in waiting:
                 sock.close()
 
-    play(go())
+    run_test(go())
--- a/tests/edge/test_hollow.py
+++ b/tests/edge/test_hollow.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 from control_node_script import UNITS, ScriptedNode, control_settings
-from stage import free_address, play, until
+from stage import free_address, run_test, until
 
 from tansykeel.audit.records import read
 from tansykeel.control.actions import WHOLE_UNITS, CountedLease
@@ -104,7 +104,7 @@
             await process.end()
             await until(lambda: set(closes(nodes)) == NAMES)
 
-    play(go())
+    run_test(go())
     report = msgspec.json.decode((tmp_path / "report.json").read_bytes(), type=FullReport)
     totals = report.totals
     assert totals.sessions == totals.leased == totals.running == GATEWAYS
@@ -140,7 +140,7 @@
             await process.ask(do="close", first=0, count=1)
             await until(lambda: closes(nodes) == ["edge-0"])
 
-    play(go())
+    run_test(go())
     half = msgspec.json.decode((tmp_path / "half.json").read_bytes(), type=FullReport)
     assert [gateway.number for gateway in half.gateways if not gateway.running] == list(range(4, 14))
     assert all(gateway.bytes_sent > 100 for gateway in half.gateways), "what ended connections carried still counts"
@@ -181,7 +181,7 @@
             for one in (*nodes, edge):
                 await ended(one)
 
-    play(go())
+    run_test(go())
     claims = [*read(tmp_path / "claims"), *read(tmp_path / "edge-claims")]
     assert {claim.gateway for claim in claims if claim.units} == NAMES | {f"edge-{GATEWAYS}"}
     assert {claim.node for claim in claims} == {"n0", "n1", "n2", ""}
@@ -204,7 +204,7 @@
             assert answer["event"] == "failed" and what in answer["what"] and answer["do"]
             assert (await process.ask(do="report"))["running"] == GATEWAYS
 
-    play(go())
+    run_test(go())
 
 
 def test_it_ends_with_its_standard_input_and_after_its_time(tmp_path):
@@ -217,7 +217,7 @@
             assert await process.process.wait() == 0
             await until(lambda: set(closes(nodes)) == NAMES)
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize(
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from stage import Client, FakeStore, deliver, free_address, play, settings_with
+from stage import Client, FakeStore, deliver, free_address, run_test, settings_with
 
 from tansykeel.edge.program import Edge
 from tansykeel.settings.build import facts_of
@@ -62,7 +62,7 @@
                 assert (await first.answer(first.ask(size=200 * UNITS, volume="w"))).result == DELIVERED
             assert units_of(edges[0]) + units_of(edges[1]) == pytest.approx(600 - 401, abs=1)
 
-    play(go())
+    run_test(go())
 
 
 def test_all_gateways_together_do_not_send_more_than_the_limit_has():
@@ -76,7 +76,7 @@
             assert 300 < sent <= 600
             assert sum(map(units_of, edges)) == pytest.approx(600 - sent, abs=1)
 
-    play(go())
+    run_test(go())
 
 
 def test_without_peers_each_gateway_keeps_to_its_own_part():
@@ -85,7 +85,7 @@
             assert (await second.answer(second.ask(size=UNITS, volume="w"))).result == NACKED  # starts empty
             assert edges[0].peers is None
 
-    play(go())
+    run_test(go())
 
 
 def test_a_gateway_whose_fellow_is_down_starts_empty_and_answers_at_once():
@@ -95,4 +95,4 @@
             assert (await only.answer(only.ask(size=250 * UNITS, volume="w", patience=4.0))).result == NACKED
             assert asyncio.get_running_loop().time() - begun < 2.0  # half of its patience
 
-    play(go())
+    run_test(go())
--- a/tests/rehearse/test_control_on_sockets.py
+++ b/tests/rehearse/test_control_on_sockets.py
@@ -9,7 +9,7 @@
 import structlog
 from control_node_script import control_settings, settings_of
 from planted_control import BudgetIgnored, CountsOn, GoesOnRenewing, LeadsAlone
-from stage import free_address, play, until
+from stage import free_address, run_test, until
 
 from tansykeel.audit.control import check_folder, facts_of
 from tansykeel.audit.control_findings import ControlRule
@@ -109,7 +109,7 @@
             made.gateways.by_number[0].start()
             await made.all_leased()
 
-    play(run(), 60)
+    run_test(run(), 60)
     checker = judged(tmp_path)
     assert checker.findings == [] and checker.observed > 500
 
@@ -140,5 +140,5 @@
             made.cut_off("n1")
             await asyncio.sleep(CUT_S + 0.5)
 
-    play(run(), 60)
+    run_test(run(), 60)
     assert rule in {finding.rule for finding in judged(tmp_path).findings}
--- a/tests/rehearse/test_control_proxy.py
+++ b/tests/rehearse/test_control_proxy.py
@@ -7,7 +7,7 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from stage import play
+from stage import run_test
 
 from tansykeel.audit.records import FrameSeen, RecordingEnded, read
 from tansykeel.cluster.failure_detector import Ping
@@ -98,7 +98,7 @@
             traffic.update(proxy.traffic)
 
     traffic = {}
-    play(run())
+    run_test(run())
     records = seen(tmp_path)
     assert [(r.message, r.direction) for r in records] == [
         ("SessionOpen", "to-node"),
@@ -126,7 +126,7 @@
             while proxy.traffic.get("control-1", Traffic()).frames_sent < 3:
                 await asyncio.sleep(0.01)
 
-    play(run())
+    run_test(run())
     (record,) = seen(tmp_path)
     assert (record.direction, record.message, record.sender) == ("between-nodes", "LeaseRequest", "control-1")
     assert CODEC.decode(record.message, record.fields) == LeaseRequest(7, 1)
@@ -142,7 +142,7 @@
             gateway.say(Heartbeat(1, 1, 0), Heartbeat(1, 2, 0))
             assert [record.asked_at for record in await gateway.told(2)] == [1, 2]
 
-    play(run())
+    run_test(run())
     heartbeats, renewals = ([r for r in seen(tmp_path) if r.message == name] for name in ("Heartbeat", "LeaseRenewal"))
     assert all(r.passed == r.at for r in heartbeats) and len(heartbeats) == 2
     assert all(r.passed - r.at > 200_000 for r in renewals) and len(renewals) == 2
@@ -164,7 +164,7 @@
             again.say(GATEWAY_HELLO, OPEN)
             assert len(await again.told(1)) == 1
 
-    play(run())
+    run_test(run())
 
 
 def test_who_asks_for_a_node_that_is_not_there_sees_its_connection_end(tmp_path):
@@ -176,7 +176,7 @@
                 await gateway.told(1)
             assert not proxy.connections
 
-    play(run())
+    run_test(run())
 
 
 def test_what_is_no_frame_ends_its_connection(tmp_path):
@@ -187,7 +187,7 @@
             with pytest.raises(ConnectionResetError):
                 await gateway.told(1)
 
-    play(run())
+    run_test(run())
 
 
 def test_a_gateway_that_ends_in_a_silence_is_learnt_of_after_it(tmp_path):
@@ -203,7 +203,7 @@
             while proxy.connections:
                 await asyncio.sleep(0.02)
 
-    play(run())
+    run_test(run())
 
 
 def test_a_record_that_reaches_its_bound_says_so(tmp_path):
@@ -215,7 +215,7 @@
             left_out.append(proxy.recorder.left_out)
 
     left_out = []
-    play(run())
+    run_test(run())
     records = seen(tmp_path)
     assert [type(record) for record in records[-2:]] == [FrameSeen, RecordingEnded]
     assert [len(records) - 1 + left_out[0], left_out[0] > 0] == [42, True]
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -226,7 +226,7 @@
     return address
 
 
-def play(coroutine, seconds=40):
+def run_test(coroutine, seconds=40):
     async def bounded():
         async with asyncio.timeout(seconds):
             await coroutine
