--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -1,9 +1,9 @@
 """What a gateway holds and owes, without I/O: the module's door, every task's memory, time-outs and one answer.
 
 Told of whatever comes in by a program (or by an emulator), it tells the module, and acts through a `GatewayIO`. What a
-protocol says of a task is read by its `Intake`; the core knows no protocol. It decides nothing about routing, waiting
-or refusing: tasks that can't be held (no memory, stopping, bad names) are answered as `Scheduler.final` says. Times
-are whole tenths of a millisecond of one monotonic clock.
+protocol says of a task is read by its `RequestParser`; the core knows no protocol. It decides nothing about
+routing, waiting or refusing: tasks that can't be held (no memory, stopping, bad names) are answered as
+`Scheduler.final` says. Times are whole tenths of a millisecond of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
     FinalAnswer,
     GatewayIO,
     HeldTask,
-    Intake,
     ListUpdate,
     MemoryBudget,
+    RequestParser,
     StillHeld,
     StoreRow,
 )
@@ -49,7 +49,7 @@
         io: GatewayIO,
         now: int,
         bounds: Bounds,
-        intake: Intake,
+        intake: RequestParser,
         known: Iterable[StoreRow] = (),
         decide: Callable[[Facts, int, Runner], DecisionModule] = Scheduler,
         parts: Parts | None = None,
--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -12,7 +12,7 @@
 
 
 class NativeProtocol:
-    """The core's intake: volumes known from the settings, sizes counted from bytes."""
+    """The core's request parser: volumes known from the settings, sizes counted from bytes."""
 
     def __init__(self, settings: Settings, facts: Facts) -> None:
         self.gateway, self.facts = settings.gateway, facts
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -82,7 +82,7 @@
     def failed(self) -> bool: ...
 
 
-class Intake(Protocol):
+class RequestParser(Protocol):
     """Reads what a protocol's clients ask for."""
 
     def parse(self, now: int, request: Any) -> ParsedRequest: ...
--- a/tansykeel/platform/intake.py
+++ b/tansykeel/platform/intake.py
@@ -40,7 +40,7 @@
 
 
 class Reader:
-    """The core's intake. Volumes are met as they come; one that names another plan is another volume."""
+    """The core's request parser. Volumes are met as they come; one that names another plan is another volume."""
 
     def __init__(self, facts: Facts) -> None:
         self.largest = facts.sizes.largest
