--- a/tansykeel/cli/fleet.py
+++ b/tansykeel/cli/fleet.py
@@ -70,7 +70,7 @@
     """
     import asyncio
 
-    from tansykeel.edge.ask import NotTold, go_without, query_fleet
+    from tansykeel.edge.ask import NotTold, declare_gone, query_fleet
 
     try:
         told = asyncio.run(query_fleet(address, 5.0))
@@ -81,7 +81,7 @@
         if not yes:
             typer.echo("nothing done: say it with --yes")
             return
-        asyncio.run(go_without(address, tuple(names), 5.0))
+        asyncio.run(declare_gone(address, tuple(names), 5.0))
     except NotTold as error:
         fail(error, address)
     typer.echo(f"{told.name} was told")
--- a/tansykeel/edge/ask.py
+++ b/tansykeel/edge/ask.py
@@ -29,7 +29,7 @@
     return await request(address, FleetAsk(), FleetTold, seconds)
 
 
-async def go_without(address: str, names: tuple[str, ...], seconds: float) -> FleetTold:
+async def declare_gone(address: str, names: tuple[str, ...], seconds: float) -> FleetTold:
     """Tell a gateway that no process runs under these names. Raises NotTold, also where it is not taken."""
     return await request(address, FleetWithout(names), FleetTold, seconds)
 
--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -17,7 +17,7 @@
 from tansykeel.control.node import ControlNode
 from tansykeel.control_plane import program as control_program
 from tansykeel.control_plane.program import EXIT_FAILED, ControlProgram
-from tansykeel.edge.ask import NotTold, go_without, query_fleet
+from tansykeel.edge.ask import NotTold, declare_gone, query_fleet
 from tansykeel.protocol.frames import (
     CHECK,
     HEADER,
@@ -189,8 +189,8 @@
         async with one_node(tmp_path, nodes=3) as (_, address):
             assert (await query_fleet(address, 5)).number == 0
             with pytest.raises(NotTold, match="'n7' is no other gateway of the settings"):
-                await go_without(address, ("n7",), 5)
-            await go_without(address, ("n1", "n2"), 5)
+                await declare_gone(address, ("n7",), 5)
+            await declare_gone(address, ("n1", "n2"), 5)
             while not (told := await query_fleet(address, 5)).leased:
                 await asyncio.sleep(0.1)
             assert [name for name, _ in told.members] == ["n0"] and told.part == 0
