--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -85,7 +85,7 @@
         self.held[client, id] = held
         if asked.fault or self.stopping or len(self.held) > self.bounds.open_tasks:
             return self._give_up(held, asked.fault or ("stopping" if self.stopping else "too many open tasks"))
-        if not self.memory.take(client, asked.memory):
+        if not self.memory.reserve(client, asked.memory):
             return self._give_up(held, "no memory for its body")
         held.memory = asked.memory
         if held.body_missing:  # guards against a body that never comes: the client is answered all the same
@@ -336,7 +336,7 @@
         count = ("delivered", "nacked", "broken_off")[final.result]
         setattr(self.counts, count, getattr(self.counts, count) + 1)
         memory, held.memory = held.memory, 0
-        self.io.answer(held, final, body, partial(self.memory.free, held.client, memory))
+        self.io.answer(held, final, body, partial(self.memory.release, held.client, memory))
 
     def _let_go(self, held: HeldTask) -> None:
         """Forget a task that has its answer and nothing out."""
@@ -346,7 +346,7 @@
                 self._whole(held)  # whoever waited for its body goes on
             held.body.clear()
             if held.memory:
-                self.memory.free(held.client, held.memory)
+                self.memory.release(held.client, held.memory)
                 held.memory = 0
 
     def _booted(self, store: Store, boot: int, age: int) -> bool:
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -152,7 +152,7 @@
         self.used = 0
         self.by_client: dict[Any, int] = {}
 
-    def take(self, client: Any, size: int) -> bool:
+    def reserve(self, client: Any, size: int) -> bool:
         if not size:  # guards against a row for each client that ever came, with nothing in it
             return True
         mine = self.by_client.get(client, 0)
@@ -161,7 +161,7 @@
         self.used, self.by_client[client] = self.used + size, mine + size
         return True
 
-    def free(self, client: Any, size: int) -> None:
+    def release(self, client: Any, size: int) -> None:
         if not size:
             return
         self.used -= size
