--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -1,9 +1,9 @@
-"""What a gateway holds and owes, without I/O: the module's door, every task's memory, time-outs and one answer.
+"""A gateway's state without I/O: the tasks it holds, their memory, their time-outs and their final answers.
 
-Told of whatever comes in by a program (or by an emulator), it tells the module, and acts through a `GatewayIO`. What a
-protocol says of a task is read by its `RequestParser`; the core knows no protocol. It decides nothing about
-routing, waiting or refusing: tasks that can't be held (no memory, stopping, bad names) are answered as
-`Scheduler.final` says. Times are whole tenths of a millisecond of one monotonic clock.
+A program (or the emulator) reports every event to the core, which passes it on to the decision module and acts through
+a `GatewayIO`. The core knows no protocol: a `RequestParser` reads what clients send. It decides nothing about routing,
+waiting or refusing; a task that can't be held (no memory, the gateway is stopping, unknown names) is answered as
+`Scheduler.final` says. Times are whole ticks, of 0.1 ms each, of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -35,12 +35,16 @@
 from tansykeel.interface import BreakOff, Facts, How, Nack, Outcome, Parts, State, Store, Task, Want, Word
 from tansykeel.runner import Runner
 
-LEAVING = {State.READY: 0, State.DRAINING: 1, State.GONE: 2}  # a store's way out, in order
-MAX_GONE_STORES = 1_000  # stores that are gone and still known by name, the newest ones
+REMOVAL_STAGES = {State.READY: 0, State.DRAINING: 1, State.GONE: 2}  # the states of a store that is being removed
+MAX_GONE_STORES = 1_000  # stores that are gone and still known by name; beyond it the oldest are forgotten
 
 
 class Core:
-    """`known` are the stores as they were last heard of, before a list confirms them."""
+    """Holds a gateway's tasks and implements the `Door` through which the runner passes on the module's actions.
+
+    `known_stores` are the stores as they were last reported, used until a list confirms them. `make_module` creates
+    the decision module. `parts` tells this gateway's part of the totals that all gateways divide; None: equal parts.
+    """
 
     def __init__(
         self,
@@ -49,55 +53,55 @@
         io: GatewayIO,
         now: int,
         bounds: Bounds,
-        intake: RequestParser,
-        known: Iterable[StoreRow] = (),
-        decide: Callable[[Facts, int, Runner], DecisionModule] = Scheduler,
+        request_parser: RequestParser,
+        known_stores: Iterable[StoreRow] = (),
+        make_module: Callable[[Facts, int, Runner], DecisionModule] = Scheduler,
         parts: Parts | None = None,
     ) -> None:
-        self.facts, self.io, self.bounds, self.intake = facts, io, bounds, intake
+        self.facts, self.io, self.bounds, self.request_parser = facts, io, bounds, request_parser
         self.runner = Runner(self, now, parts)
         self.stores: dict[str, Store] = {}
         self.addresses: dict[Store, str] = {}
         self.boot_ids: dict[Store, int] = {}
-        self.held: dict[tuple[Any, Any], HeldTask] = {}
-        self.coming: dict[int, deque[HeldTask]] = {}  # by key, of ordered categories: not started, as they were taken
+        self.held: dict[tuple[Any, Any], HeldTask] = {}  # by client and task id
+        self.unstarted: dict[int, deque[HeldTask]] = {}  # tasks of ordered categories, by key, in the order received
         self.memory = MemoryBudget(bounds.body_memory, bounds.client_memory)
         self.counts = Counts()
         self.stopping = False
         self.list_version = -1
-        self.brain = decide(facts, seed, self.runner)
-        self._rows(known)
-        self.brain.list_changed(list(self.stores.values()), confirmed=False)
+        self.decision_module = make_module(facts, seed, self.runner)
+        self._apply_rows(known_stores)
+        self.decision_module.list_changed(list(self.stores.values()), confirmed=False)
         self.runner.settle()
 
-    # What clients say
+    # Events from clients
 
     def receive_task(self, now: int, client: Any, id: Any, request: Any) -> None:
-        """A task has come. Raises StillHeld where the client uses the id of a task that it still waits for."""
+        """Take a task. Raises StillHeld where the client still waits for another task with this id."""
         self.runner.move(now)
         now = self.runner.now
         if (client, id) in self.held:
             raise StillHeld(f"task {id}: one with this id is still held")
-        asked = self.intake.parse(now, request)
-        held = HeldTask(client, id, request, asked.task, 0, asked.body)
-        asked.task.handle = held
+        parsed = self.request_parser.parse(now, request)
+        held = HeldTask(client, id, request, parsed.task, 0, parsed.body)
+        parsed.task.handle = held
         self.counts.taken += 1
         self.held[client, id] = held
-        if asked.fault or self.stopping or len(self.held) > self.bounds.open_tasks:
-            return self._give_up(held, asked.fault or ("stopping" if self.stopping else "too many open tasks"))
-        if not self.memory.reserve(client, asked.memory):
+        if parsed.fault or self.stopping or len(self.held) > self.bounds.open_tasks:
+            return self._give_up(held, parsed.fault or ("stopping" if self.stopping else "too many open tasks"))
+        if not self.memory.reserve(client, parsed.memory):
             return self._give_up(held, "no memory for its body")
-        held.memory = asked.memory
-        if held.body_missing:  # guards against a body that never comes: the client is answered all the same
-            self.runner.alarm(held.task.deadline, partial(self._body_late, held))
+        held.memory = parsed.memory
+        if held.body_missing:  # the client gets its answer even if the body never comes
+            self.runner.alarm(held.task.deadline, partial(self._body_timed_out, held))
             self.runner.settle()
         if held.task.category.ordered and held.task.key:
-            self.coming.setdefault(held.task.key, deque()).append(held)
+            self.unstarted.setdefault(held.task.key, deque()).append(held)
         if not held.body_missing:
-            self._whole(held)
+            self._body_complete(held)
 
     def receive_body(self, now: int, client: Any, id: Any, data: bytes) -> None:
-        """Bytes of a task's body; those of a task that has its answer already are let go."""
+        """Take bytes of a task's body. Bytes for a task that already has its answer are dropped."""
         held = self.held.get((client, id))
         if held is None or held.answered or held.started:
             return
@@ -105,10 +109,10 @@
         held.body_missing -= len(data)
         if not held.body_missing:
             self.runner.move(now)
-            self._whole(held)
+            self._body_complete(held)
 
     def cancel_task(self, now: int, client: Any, id: Any) -> None:
-        """The client gave the task up, or its body."""
+        """Drop a task that its client cancelled or whose body it cut short. No answer is sent."""
         held = self.held.get((client, id))
         if held is None or held.answered:
             return
@@ -117,15 +121,16 @@
         self.counts.left += 1
         if held.started and not self.runner.left(held.task):
             for attempt in held.open_attempts:
-                self._take_back(attempt)
-        self._let_go(held)
+                self._cancel_attempt(attempt)
+        self._forget_if_done(held)
         self.runner.settle()
 
     def client_disconnected(self, now: int, client: Any) -> None:
+        """Drop all tasks of a client whose connection ended."""
         for owner, id in [key for key in self.held if key[0] is client]:
             self.cancel_task(now, owner, id)
 
-    # What stores and the list say
+    # Events from stores, the list service and other gateways
 
     def record_outcome(
         self,
@@ -139,7 +144,10 @@
         used: int = -1,
         elsewhere: int = 0,
     ) -> None:
-        """What became of a hand-off. One whose outcome is known already is not told of again."""
+        """Record the outcome of a hand-off, answer the task if it was delivered, and tell the decision module.
+
+        Only the first outcome of an attempt counts.
+        """
         if attempt.finished:
             return
         self.runner.move(now)
@@ -149,8 +157,8 @@
         held.last_outcome = how.value
         self.counts.outcomes[how.value] = self.counts.outcomes.get(how.value, 0) + 1
         if how is How.DELIVERED and not held.answered:
-            self._answer(held, FinalAnswer(DELIVERED, 0, shard if shard >= 0 else attempt.store.shard), body or [])
-        told = Outcome(
+            self._send_answer(held, FinalAnswer(DELIVERED, 0, shard if shard >= 0 else attempt.store.shard), body or [])
+        outcome = Outcome(
             how,
             lag,
             held.answered,
@@ -158,37 +166,38 @@
             elsewhere if self.facts.tells_elsewhere else None,
             report,
         )
-        self.runner.outcome(held.task, told)
-        self._let_go(held)
+        self.runner.outcome(held.task, outcome)
+        self._forget_if_done(held)
 
     def store_connected(self, now: int, store: Store, boot: int, age: int) -> bool:
-        """A store's own hello told its boot id and its age in microseconds: the list may be late with it.
+        """Record the boot id and the age in microseconds from a store's hello; the list may report a restart later.
 
-        True if it started anew: what was granted for it and not sent was decided without knowing that.
+        Returns whether the store has restarted: hand-offs that were granted and are not sent yet were then decided
+        without this knowledge.
         """
         self.runner.move(now)
-        if not self._booted(store, boot, age):
+        if not self._record_boot(store, boot, age):
             return False
-        self.brain.list_changed(list(self.stores.values()), confirmed=False)
+        self.decision_module.list_changed(list(self.stores.values()), confirmed=False)
         self.runner.settle()
         return store.started > 0
 
-    def apply_list_update(self, now: int, update: ListUpdate, anew: bool = False) -> None:
-        """The list, or a change to it. One older than what is known is not believed, unless its versions count `anew`,
-        from another beginning."""
+    def apply_list_update(self, now: int, update: ListUpdate, versions_restarted: bool = False) -> None:
+        """Apply the list of stores, or a change to it. An update older than the known list is ignored, unless
+        `versions_restarted` says that its versions are counted from a new start."""
         self.runner.move(now)
         if update.failed:
             return self.list_unavailable(now)
-        if update.version < self.list_version and not anew:
+        if update.version < self.list_version and not versions_restarted:
             return
         self.list_version = update.version
         rows = {row.name: row for row in update.rows}
-        self._rows(update.rows, anew)
+        self._apply_rows(update.rows, versions_restarted)
         if update.full:
             for name, store in self.stores.items():
                 if name not in rows:
                     store.state = State.GONE
-        self.brain.list_changed(list(self.stores.values()), confirmed=True)
+        self.decision_module.list_changed(list(self.stores.values()), confirmed=True)
         gone = [name for name, store in self.stores.items() if store.state is State.GONE]
         for name in gone[:-MAX_GONE_STORES]:
             store = self.stores.pop(name)
@@ -197,29 +206,31 @@
         self.runner.settle()
 
     def list_unavailable(self, now: int) -> None:
-        """A call failed or the subscription dropped: the module says when to ask again."""
+        """Record that a call to the list service failed or its connection was lost; the module decides when to ask
+        again."""
         self.runner.move(now)
-        self.brain.list_failed()
+        self.decision_module.list_failed()
         self.runner.settle()
 
     def receive_peer_message(self, now: int, sender: int, word: Word) -> None:
-        """Another gateway's word."""
+        """Pass a message of another gateway on to the decision module."""
         self.runner.move(now)
-        self.brain.heard(sender, word)
+        self.decision_module.heard(sender, word)
         self.runner.settle()
 
     def run_timers(self, now: int) -> None:
+        """Run all timers that are due; to be called at the time given to `GatewayIO.set_wakeup`."""
         self.runner.move(now)
         self.runner.reminded()
 
-    # The end
+    # Shutdown
 
     def stop(self) -> None:
-        """No new tasks from now on; what is held goes its way."""
+        """Refuse new tasks from now on. Tasks that are held go on."""
         self.stopping = True
 
     def answer_all(self, now: int) -> None:
-        """Answer whatever is still held, as the module says for a task given up on."""
+        """Answer all tasks that are still held, as the module says for a task given up on."""
         self.runner.move(now)
         for held in [held for held in self.held.values() if not held.answered]:
             self._give_up(held, "the gateway ends")
@@ -231,126 +242,143 @@
             self._give_up(held, reason)
         self.runner.settle()
 
-    # The module's door
+    # Door: actions of the decision module, called by the runner
 
     def hand_off(self, task: Task, store: Store, time_out: int) -> None:
+        """Send a task to a store. The attempt times out after `time_out` ticks, at the task's deadline at the latest;
+        0: only at the deadline."""
         held: HeldTask = task.handle
         now = self.runner.now
-        until = min(now + time_out, task.deadline) if time_out > 0 else task.deadline
-        attempt = Attempt(held, store, task.hand_offs - 1, now, until)
+        deadline = min(now + time_out, task.deadline) if time_out > 0 else task.deadline
+        attempt = Attempt(held, store, task.hand_offs - 1, now, deadline)
         held.open_attempts.append(attempt)
         self.counts.hand_offs += 1
-        self.runner.alarm(until, partial(self._attempt_timed_out, attempt))
+        self.runner.alarm(deadline, partial(self._attempt_timed_out, attempt))
         self.io.hand_off(attempt)
 
     def nack(self, task: Task, come_back: int) -> None:
-        self._final(task.handle, Nack(come_back), "")
+        """Answer a task with a nack. `come_back`: ticks after which the client may try again, 0: not said."""
+        self._answer_unserved(task.handle, Nack(come_back), "")
 
     def break_off(self, task: Task) -> None:
-        self._final(task.handle, BreakOff(), "")
+        """Answer a task as broken off."""
+        self._answer_unserved(task.handle, BreakOff(), "")
 
     def remind(self, at: int) -> None:
+        """Have `run_timers` called at that time."""
         self.io.set_wakeup(at)
 
     def watch(self) -> None:
+        """Ask the list service for the list of stores and its changes."""
         self.io.request_store_list()
 
     def tell(self, peer: int | None, word: Word) -> None:
+        """Send a message to another gateway, or to all others where `peer` is None."""
         self.io.send_to_peer(peer, word)
 
     def note(self, text: str) -> None:
+        """Write a log line of the decision module."""
         self.io.log_event("module", text=text)
 
-    # Within
+    # Internal
 
-    def _rows(self, rows: Iterable[StoreRow], anew: bool = False) -> None:
+    def _apply_rows(self, rows: Iterable[StoreRow], versions_restarted: bool = False) -> None:
         for row in rows:
             known, state = self.stores.get(row.name), State(row.state)
-            if anew and known and row.boot == self.boot_ids.get(known, 0) and LEAVING[known.state] > LEAVING[state]:
-                # Guards against sends to a store that was heard to drain: whose versions count anew may be behind.
+            if (
+                versions_restarted
+                and known
+                and row.boot == self.boot_ids.get(known, 0)
+                and REMOVAL_STAGES[known.state] > REMOVAL_STAGES[state]
+            ):
+                # A service whose versions restarted may be behind: without this, tasks would be sent to a store that
+                # is already known to drain.
                 state = known.state
             store = self.stores.setdefault(row.name, Store(row.name))
             store.zone, store.shard, store.state = row.zone, row.shard, state
             self.addresses[store] = row.address
-            self._booted(store, row.boot, row.age)
+            self._record_boot(store, row.boot, row.age)
 
-    def _whole(self, held: HeldTask) -> None:
-        """All of a task is here. One of an ordered category waits for those of its key that were taken before it.
+    def _body_complete(self, held: HeldTask) -> None:
+        """Start a task whose body is complete. One of an ordered category waits for earlier tasks of its key.
 
-        Guards against a small body that overtakes a large one: the module orders tasks as they are started.
+        The module orders tasks as they are started: without the wait, a small body would overtake a large one.
         """
-        line = self.coming.get(held.task.key) if held.task.category.ordered else None
-        if line is None:
+        queue = self.unstarted.get(held.task.key) if held.task.category.ordered else None
+        if queue is None:
             return self._start(held)
-        while line and (line[0].answered or not line[0].body_missing):
-            first = line.popleft()
+        while queue and (queue[0].answered or not queue[0].body_missing):
+            first = queue.popleft()
             if not first.answered:
                 self._start(first)
-        if not line:
-            self.coming.pop(held.task.key, None)
+        if not queue:
+            self.unstarted.pop(held.task.key, None)
 
     def _start(self, held: HeldTask) -> None:
         held.started = True
-        self.runner.start(held.task, self.brain.serve(held.task))
+        self.runner.start(held.task, self.decision_module.serve(held.task))
 
-    def _body_late(self, held: HeldTask) -> None:
+    def _body_timed_out(self, held: HeldTask) -> None:
         if not held.started and not held.answered:
             self._give_up(held, "its body did not come in time")
 
     def _attempt_timed_out(self, attempt: Attempt) -> None:
         if attempt.finished:
             return
-        self._take_back(attempt)
+        self._cancel_attempt(attempt)
         self.record_outcome(self.runner.now, attempt, How.TIMED_OUT)
 
-    def _take_back(self, attempt: Attempt) -> None:
-        """Guards against an attempt that begins though nobody waits for it, also where none may be cancelled: one
-        that waits for its connection has not begun."""
+    def _cancel_attempt(self, attempt: Attempt) -> None:
+        """Cancel an attempt that nobody waits for any more. Where stores allow no cancelling, an attempt that still
+        waits for its connection is withdrawn all the same, as it has not begun."""
         if self.facts.allowed.cancel:
             self.io.cancel(attempt)
         else:
             self.io.withdraw(attempt)
 
     def _give_up(self, held: HeldTask, reason: str) -> None:
-        """Answer a task outside of its generator. What is out for it is cancelled; nothing more is sent."""
-        # Guards against a nack for a one-shot task whose hand-off is out: no outcome says yet that it never ran.
+        """Answer a task independently of its generator, cancel its open attempts and send nothing more for it."""
+        # An open hand-off may have run. Without this, a one-shot task would be nacked as if it never had.
         held.task.may_have_run += [(attempt.store, attempt.sent_at) for attempt in held.open_attempts]
-        want = self.brain.final(held.task)
-        self._final(held, want, reason)
+        want = self.decision_module.final(held.task)
+        self._answer_unserved(held, want, reason)
         if held.started and not self.runner.left(held.task):
             for attempt in held.open_attempts:
                 self.io.cancel(attempt)
-        self._let_go(held)
+        self._forget_if_done(held)
 
-    def _final(self, held: HeldTask, want: Want, reason: str) -> None:
+    def _answer_unserved(self, held: HeldTask, want: Want, reason: str) -> None:
+        """Answer a task that was not delivered: with a nack, or as broken off."""
         if held.answered:
             return
         if isinstance(want, Nack):
-            self._answer(held, FinalAnswer(NACKED, want.come_back, reason=reason[:500]), [])
+            self._send_answer(held, FinalAnswer(NACKED, want.come_back, reason=reason[:500]), [])
         else:
-            self._answer(held, FinalAnswer(BROKEN_OFF, reason=reason[:500]), [])
-        self._let_go(held)
+            self._send_answer(held, FinalAnswer(BROKEN_OFF, reason=reason[:500]), [])
+        self._forget_if_done(held)
 
-    def _answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes]) -> None:
+    def _send_answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes]) -> None:
+        """Count and send a final answer. The task's memory is released once the answer has been sent."""
         held.answered = True
         count = ("delivered", "nacked", "broken_off")[final.result]
         setattr(self.counts, count, getattr(self.counts, count) + 1)
         memory, held.memory = held.memory, 0
         self.io.answer(held, final, body, partial(self.memory.release, held.client, memory))
 
-    def _let_go(self, held: HeldTask) -> None:
-        """Forget a task that has its answer and nothing out."""
+    def _forget_if_done(self, held: HeldTask) -> None:
+        """Forget a task that has its answer and no open attempts."""
         if held.answered and not held.open_attempts and (held.client, held.id) in self.held:
             del self.held[held.client, held.id]
-            if not held.started and held.task.key in self.coming:
-                self._whole(held)  # whoever waited for its body goes on
+            if not held.started and held.task.key in self.unstarted:
+                self._body_complete(held)  # start the tasks of its key that waited for its body
             held.body.clear()
             if held.memory:
                 self.memory.release(held.client, held.memory)
                 held.memory = 0
 
-    def _booted(self, store: Store, boot: int, age: int) -> bool:
-        """Take in when a store started. Of two starts the later is right: a late list must not undo a hello."""
+    def _record_boot(self, store: Store, boot: int, age: int) -> bool:
+        """Record when a store started; return whether that was news. Of two starts the later one counts, so that a
+        late list does not undo what a hello told."""
         if not boot or self.boot_ids.get(store) == boot:
             return False
         started = max(self.runner.now - age // MICROSECONDS_PER_TICK, 1) if age else 0
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -109,7 +109,7 @@
             order = [other, first, second] if first_ends == "whole" else [other, second]
             assert [h.task for h in stage.stores[0].handed] == order
             await until(lambda: not stage.edge.core.held)
-            assert not stage.edge.core.coming
+            assert not stage.edge.core.unstarted
 
     run_test(go())
 
