--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -1,4 +1,7 @@
-"""What passes between the core and its fronts: tasks as they are held, their answers, the wire, bounds."""
+"""Types shared by the core and the programs around it: held tasks, final answers, the I/O interface, bounds.
+
+Times are whole ticks of 0.1 ms.
+"""
 
 from __future__ import annotations
 
@@ -10,9 +13,9 @@
 from tansykeel.interface import Store, Task, Want, Word
 from tansykeel.runner import Run
 
-DELIVERED, NACKED, BROKEN_OFF = 0, 1, 2
-MICROSECONDS_PER_TICK = 100  # microseconds in a tenth
-TICKS_PER_MS = 10  # tenths in a millisecond
+DELIVERED, NACKED, BROKEN_OFF = 0, 1, 2  # FinalAnswer.result
+MICROSECONDS_PER_TICK = 100
+TICKS_PER_MS = 10
 
 
 class StillHeld(Problem, ValueError):
@@ -23,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What a gateway holds at most: tasks, and bytes of bodies of all clients and of one."""
+    """What a gateway holds at most: tasks, and bytes of bodies for all clients together and for each client."""
 
     open_tasks: int
     body_memory: int
@@ -32,17 +35,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """A client's request as the module will see it, by the protocol's front."""
+    """A client's request as the decision module sees it, made by the protocol's `RequestParser`."""
 
     task: Task
     body: int  # bytes of its body still to come
-    memory: int  # bytes that it and its answer may hold
-    fault: str = ""  # why it can't be held, if it can't
+    memory: int  # bytes to reserve for it and its answer
+    fault: str = ""  # why it can't be held, empty if it can
 
 
 @dataclass(frozen=True, slots=True)
 class FinalAnswer:
-    """A task's one answer. `result`: delivered 0, nacked 1, broken off 2; `come_back` in tenths, 0: not said."""
+    """A task's one final answer. `result`: delivered 0, nacked 1, broken off 2; `come_back` in ticks, 0: not said."""
 
     result: int
     come_back: int = 0
@@ -51,7 +54,8 @@
 
 
 class StoreRow(Protocol):
-    """A store as a list tells of it; `boot` is new with each of its starts, `age` in microseconds, 0: long past."""
+    """A store as the list describes it. `boot` differs for each of its starts; `age` is the time since the last one
+    in microseconds, 0: long ago."""
 
     @property
     def name(self) -> str: ...
@@ -70,7 +74,7 @@
 
 
 class ListUpdate(Protocol):
-    """The list, or what changed in it."""
+    """The list of stores, or a change to it. `full`: stores without a row are gone; `failed`: the call failed."""
 
     @property
     def full(self) -> bool: ...
@@ -83,35 +87,37 @@
 
 
 class RequestParser(Protocol):
-    """Reads what a protocol's clients ask for."""
+    """Translates the requests of one client protocol to tasks."""
 
-    def parse(self, now: int, request: Any) -> ParsedRequest: ...
+    def parse(self, now: int, request: Any) -> ParsedRequest:
+        """Return the task of a request that came at `now`, and the fault if it can't be held."""
+        ...
 
 
 @dataclass(eq=False, slots=True)
 class HeldTask:
-    """One task from its taking to its answer, and to the outcome of its last hand-off."""
+    """A task from its arrival until it has its answer and the outcome of its last hand-off."""
 
     client: Any
     id: Any
     request: Any
     task: Task
-    memory: int
+    memory: int  # bytes reserved for it
     body_missing: int  # bytes of its body still to come
     body: list[bytes] = field(default_factory=list)
-    open_attempts: list[Attempt] = field(default_factory=list)
+    open_attempts: list[Attempt] = field(default_factory=list)  # without an outcome yet
     started: bool = False
-    answered: bool = False
-    last_outcome: str = ""  # of its last attempt that is over
+    answered: bool = False  # or cancelled by its client, which gets no answer
+    last_outcome: str = ""  # of the attempt that finished last
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One hand-off on its way; `connection` is the wire's own."""
+    """One hand-off of a task to a store. `connection` belongs to the GatewayIO."""
 
     held: HeldTask
     store: Store
-    number: int
+    number: int  # 0 for the task's first attempt
     sent_at: int
     deadline: int
     connection: Any = None
@@ -119,49 +125,74 @@
 
 
 class GatewayIO(Protocol):
-    """What the core needs of the sockets. None of these may call back into the core before it returns."""
+    """The I/O that the core needs. None of these methods may call back into the core before it returns."""
+
+    def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
+        """Send a final answer; call `sent` once its body no longer takes memory."""
+        ...
+
+    def hand_off(self, attempt: Attempt) -> None:
+        """Send an attempt to its store."""
+        ...
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Withdraw an attempt, or tell its store to cancel it if it was sent."""
+        ...
+
+    def withdraw(self, attempt: Attempt) -> None:
+        """Cancel an attempt only if nothing of it was sent."""
+        ...
+
+    def set_wakeup(self, at: int) -> None:
+        """Have the core's `run_timers` called at that time, unless an earlier call is due already."""
+        ...
 
-    def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None: ...
-    def hand_off(self, attempt: Attempt) -> None: ...
-    def cancel(self, attempt: Attempt) -> None: ...
-    def withdraw(self, attempt: Attempt) -> None: ...  # cancel it only if nothing of it was sent
-    def set_wakeup(self, at: int) -> None: ...
-    def request_store_list(self) -> None: ...
-    def send_to_peer(self, peer: int | None, word: Word) -> None: ...  # None: all other gateways
-    def log_event(self, event: str, **fields: Any) -> None: ...
+    def request_store_list(self) -> None:
+        """Ask the list service for the list of stores and its changes."""
+        ...
+
+    def send_to_peer(self, peer: int | None, word: Word) -> None:
+        """Send a message to another gateway, or to all others where `peer` is None."""
+        ...
+
+    def log_event(self, event: str, **fields: Any) -> None:
+        """Write a line of the log."""
+        ...
 
 
 @dataclass(slots=True)
 class Counts:
-    """Since the start."""
+    """Numbers of tasks, hand-offs and outcomes since the start."""
 
     taken: int = 0
     delivered: int = 0
     nacked: int = 0
     broken_off: int = 0
-    left: int = 0
+    left: int = 0  # tasks that their clients cancelled
     hand_offs: int = 0
     outcomes: dict[str, int] = field(default_factory=dict)
 
 
 class MemoryBudget:
-    """Bytes promised to bodies, of one connection and of all; a task's are taken whole before it is held."""
+    """Counts the bytes reserved for bodies, of all clients and of each. A task's bytes are reserved all at once."""
 
-    def __init__(self, most: int, most_each: int) -> None:
-        self.most, self.most_each = most, most_each
+    def __init__(self, limit: int, client_limit: int) -> None:
+        self.limit, self.client_limit = limit, client_limit
         self.used = 0
         self.by_client: dict[Any, int] = {}
 
     def reserve(self, client: Any, size: int) -> bool:
-        if not size:  # guards against a row for each client that ever came, with nothing in it
+        """Reserve `size` bytes for a client. Returns False, with nothing reserved, where that exceeds a limit."""
+        if not size:  # without this, by_client would keep an empty entry for each client that ever came
             return True
-        mine = self.by_client.get(client, 0)
-        if self.used + size > self.most or mine + size > self.most_each:
+        client_used = self.by_client.get(client, 0)
+        if self.used + size > self.limit or client_used + size > self.client_limit:
             return False
-        self.used, self.by_client[client] = self.used + size, mine + size
+        self.used, self.by_client[client] = self.used + size, client_used + size
         return True
 
     def release(self, client: Any, size: int) -> None:
+        """Release `size` reserved bytes of a client."""
         if not size:
             return
         self.used -= size
@@ -172,10 +203,24 @@
 
 
 class DecisionModule(Protocol):
-    """What the core asks of the module, and of a baseline in its place."""
+    """What the core calls in the decision module, or in a baseline in its place."""
+
+    def list_changed(self, stores: list[Store], confirmed: bool) -> None:
+        """The stores changed; `confirmed`: a list said so, not only a store's hello or the settings."""
+        ...
+
+    def list_failed(self) -> None:
+        """The list of stores can't be had at the moment."""
+        ...
+
+    def serve(self, task: Task) -> Run:
+        """Return the generator that decides about a task."""
+        ...
+
+    def heard(self, peer: int, word: Word) -> None:
+        """Another gateway sent a message."""
+        ...
 
-    def list_changed(self, stores: list[Store], confirmed: bool) -> None: ...
-    def list_failed(self) -> None: ...
-    def serve(self, task: Task) -> Run: ...
-    def heard(self, peer: int, word: Word) -> None: ...
-    def final(self, task: Task) -> Want: ...
+    def final(self, task: Task) -> Want:
+        """Return the answer, Nack or BreakOff, for a task that is given up on."""
+        ...
