--- a/tansykeel/edge/listing.py
+++ b/tansykeel/edge/listing.py
@@ -21,7 +21,7 @@
 LOOK = 0.25  # seconds between looks at the clock
 
 
-class Listing:
+class StoreListClient:
     def __init__(self, core: Core, hub: Hub, settings: ListSettings, hello: Hello, clock: Callable[[], int]) -> None:
         self.core, self.hub, self.settings, self.hello, self.clock = core, hub, settings, hello, clock
         self.link: Link | None = None
@@ -31,7 +31,7 @@
         self.heard = 0.0  # by the loop's clock: when the last word came, or the call for it went
         self._looking: asyncio.TimerHandle | None = None
 
-    def ask(self) -> None:
+    def request(self) -> None:
         """Watch the list: over the connection that stands, or a new one."""
         if self.ended:
             return
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -18,7 +18,7 @@
 from tansykeel.edge.cluster_agent import ClusterAgent, Counted
 from tansykeel.edge.control_session import ClaimObserver, ControlSession, control_session_of
 from tansykeel.edge.core import Core
-from tansykeel.edge.listing import Listing
+from tansykeel.edge.listing import StoreListClient
 from tansykeel.edge.maintenance import LOOKS_EVERY, MaintenanceAgent
 from tansykeel.edge.native import NativeProtocol, answer_frame, bounds_of, configured_stores
 from tansykeel.edge.peers import Peers
@@ -76,7 +76,7 @@
         self.clients: set[Link] = set()
         self._reminder = WakeupTimer(lambda now: self.core.run_timers(now))
         self._asked = False
-        self.listing: Listing | None = None
+        self.listing: StoreListClient | None = None
         self.failed = False
         self.stopping = asyncio.Event()
         self.native = NativeProtocol(settings, facts)
@@ -152,9 +152,9 @@
         sweeping = loop.create_task(self._sweep())
         looking = loop.create_task(self._look())
         if self.settings.listing:
-            self.listing = Listing(self.core, self.hub, self.settings.listing, self.hello, clock)
+            self.listing = StoreListClient(self.core, self.hub, self.settings.listing, self.hello, clock)
             if self._asked or self.settings.listing.mode == "push":
-                self.listing.ask()
+                self.listing.request()
         port = listener.getsockname()[1]
         if self.cluster_agent:
             self.cluster_agent.start()
@@ -243,7 +243,7 @@
     def request_store_list(self) -> None:
         self._asked = True  # the module may ask before the program runs
         if self.listing:
-            self.listing.ask()
+            self.listing.request()
 
     def send_to_peer(self, peer: int | None, word: Word) -> None:
         if self.peers:
--- a/tests/edge/test_listing.py
+++ b/tests/edge/test_listing.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tansykeel.edge import listing as listing_module
-from tansykeel.edge.listing import Listing
+from tansykeel.edge.listing import StoreListClient
 from tansykeel.protocol.codec import Codec, Frame
 from tansykeel.protocol.frames import Hello, ListAsk, ListOf, Row
 from tansykeel.settings.records import ListOf as ListSettings
@@ -62,7 +62,7 @@
 
     def list_unavailable(self, now):
         self.lost += 1
-        self.listing.ask()
+        self.listing.request()
 
 
 def play(says, check):
@@ -72,8 +72,8 @@
             fake.hub = hub = Hub(Limits())
             accepting = asyncio.create_task(accept_all(listener, fake.accept))
             settings = ListSettings(f"127.0.0.1:{listener.getsockname()[1]}")
-            core.listing = Listing(core, hub, settings, Hello(1, "edge", "e"), lambda: 0)
-            core.listing.ask()
+            core.listing = StoreListClient(core, hub, settings, Hello(1, "edge", "e"), lambda: 0)
+            core.listing.request()
             try:
                 await check(fake, core)
             finally:
@@ -128,8 +128,10 @@
             while not ports:
                 await asyncio.sleep(0.01)
             core, hub, heard = StubCore(), Hub(Limits()), []
-            core.listing = Listing(core, hub, ListSettings(f"127.0.0.1:{ports[0]}"), Hello(1, "edge", "e"), lambda: 0)
-            core.listing.ask()
+            core.listing = StoreListClient(
+                core, hub, ListSettings(f"127.0.0.1:{ports[0]}"), Hello(1, "edge", "e"), lambda: 0
+            )
+            core.listing.request()
             while core.listing.link is None:
                 await asyncio.sleep(0.01)
             event = core.listing.link.on_event
