--- a/tests/edge/test_listing.py
+++ b/tests/edge/test_listing.py
@@ -1,4 +1,4 @@
-"""The edge's list of stores on sockets: what stands still is told from what has no news, wherever it falls silent."""
+"""The client of the list of stores, on sockets: it tells a stalled service from one without news."""
 
 from __future__ import annotations
 
@@ -20,39 +20,42 @@
 
 
 class FakeList:
-    """Says on one connection after another what `says` has for it: "nothing", "page", "whole", "whole, then quiet"."""
+    """A list service. `replies` says what it sends on each connection in turn, the last being the default: "nothing",
+    "page" (an incomplete list), "whole" (and then nothing), "whole, then quiet" (followed by empty changes)."""
 
-    def __init__(self, says):
-        self.says, self.links, self.asked = says, [], 0
+    def __init__(self, replies):
+        self.replies, self.links, self.requests = replies, [], 0
 
     def accept(self, sock):
-        says = self.says.pop(0) if self.says else "whole, then quiet"
+        reply = self.replies.pop(0) if self.replies else "whole, then quiet"
         self.links.append(
             Link(
                 self.hub,
                 sock,
                 Codec("edge"),
                 Hello(1, "list", "list"),
-                lambda link, event: self.event(link, event, says),
+                lambda link, event: self.on_event(link, event, reply),
                 lambda link, why: None,
             )
         )
 
-    def event(self, link, event, says):
+    def on_event(self, link, event, reply):
         if isinstance(event, Frame) and isinstance(event.record, ListAsk):
-            self.asked += 1
-            if says != "nothing":
-                link.send(1, ListOf(True, 7, (ROW,), says == "page"))
-            if says == "whole, then quiet":
-                asyncio.create_task(self.quiet(link))
+            self.requests += 1
+            if reply != "nothing":
+                link.send(1, ListOf(True, 7, (ROW,), reply == "page"))
+            if reply == "whole, then quiet":
+                asyncio.create_task(self.send_empty_changes(link))
 
-    async def quiet(self, link):
+    async def send_empty_changes(self, link):
         while not link.lost:
-            await asyncio.sleep(listing_module.SILENT / 3)
+            await asyncio.sleep(listing_module.SILENCE_TIMEOUT / 3)
             link.send(1, ListOf(False, 7, ()))
 
 
 class StubCore:
+    """Records the updates, and asks again whenever the list is unavailable, as the decision module does."""
+
     def __init__(self):
         self.list_version, self.updates, self.lost = -1, [], 0
 
@@ -65,10 +68,10 @@
         self.listing.request()
 
 
-def play(says, check):
+def run_test(replies, check):
     async def go():
         async with asyncio.timeout(10):
-            fake, core, listener = FakeList(list(says)), StubCore(), listening("127.0.0.1:0")
+            fake, core, listener = FakeList(list(replies)), StubCore(), listening("127.0.0.1:0")
             fake.hub = hub = Hub(Limits())
             accepting = asyncio.create_task(accept_all(listener, fake.accept))
             settings = ListSettings(f"127.0.0.1:{listener.getsockname()[1]}")
@@ -86,34 +89,34 @@
 
 
 @pytest.fixture(autouse=True)
-def soon(monkeypatch):
-    monkeypatch.setattr(listing_module, "SILENT", 0.3)
-    monkeypatch.setattr(listing_module, "LOOK", 0.02)
+def short_timeouts(monkeypatch):
+    monkeypatch.setattr(listing_module, "SILENCE_TIMEOUT", 0.3)
+    monkeypatch.setattr(listing_module, "CHECK_INTERVAL", 0.02)
 
 
-@pytest.mark.parametrize("says", [["nothing"], ["page"], ["whole"], ["nothing", "page", "whole"]])
-def test_a_list_that_stands_still_is_called_anew(says):
-    """Silent after the hello, in the middle of an answer, and after a whole one."""
+@pytest.mark.parametrize("replies", [["nothing"], ["page"], ["whole"], ["nothing", "page", "whole"]])
+def test_a_stalled_list_service_is_called_again(replies):
+    """It stalls after its hello, in the middle of an answer, or after a complete one."""
 
     async def check(fake, core):
-        while fake.asked < len(says) + 1 or not core.updates:
+        while fake.requests < len(replies) + 1 or not core.updates:
             await asyncio.sleep(0.01)
-        assert core.lost == len(says) and core.updates[-1].rows == (ROW,)
+        assert core.lost == len(replies) and core.updates[-1].rows == (ROW,)
 
-    play(says, check)
+    run_test(replies, check)
 
 
-def test_a_list_without_news_is_not_called_anew():
+def test_a_list_service_without_news_is_not_called_again():
     async def check(fake, core):
         while not core.updates:
             await asyncio.sleep(0.01)
-        await asyncio.sleep(4 * listing_module.SILENT)
-        assert (fake.asked, core.lost, len(core.updates)) == (1, 0, 1)
+        await asyncio.sleep(4 * listing_module.SILENCE_TIMEOUT)
+        assert (fake.requests, core.lost, len(core.updates)) == (1, 0, 1)
 
-    play([], check)
+    run_test([], check)
 
 
-def test_the_list_service_says_that_it_is_there(tmp_path, monkeypatch):
+def test_the_list_service_sends_empty_changes(tmp_path, monkeypatch):
     monkeypatch.setattr(standin_module, "QUIET", 0.02)
 
     async def no_commands(carry_out):
@@ -127,16 +130,16 @@
             serving = asyncio.create_task(service.serve("127.0.0.1:0", ports.append))
             while not ports:
                 await asyncio.sleep(0.01)
-            core, hub, heard = StubCore(), Hub(Limits()), []
+            core, hub, events = StubCore(), Hub(Limits()), []
             core.listing = StoreListClient(
                 core, hub, ListSettings(f"127.0.0.1:{ports[0]}"), Hello(1, "edge", "e"), lambda: 0
             )
             core.listing.request()
             while core.listing.link is None:
                 await asyncio.sleep(0.01)
-            event = core.listing.link.on_event
-            core.listing.link.on_event = lambda link, one: (heard.append(one), event(link, one))
-            while sum(isinstance(one, Frame) and isinstance(one.record, ListOf) for one in heard) < 4:
+            on_event = core.listing.link.on_event
+            core.listing.link.on_event = lambda link, received: (events.append(received), on_event(link, received))
+            while sum(isinstance(event, Frame) and isinstance(event.record, ListOf) for event in events) < 4:
                 await asyncio.sleep(0.01)
             assert len(core.updates) == 1 and core.lost == 0
             core.listing.end()
