--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -1,4 +1,4 @@
-"""What the native protocol's front says to the core and hears of it: frames' records to tasks and back."""
+"""Translates between the native protocol's frames and the core's types, in both directions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 
 class NativeProtocol:
-    """The core's request parser: volumes known from the settings, sizes counted from bytes."""
+    """Parses requests of the native protocol for the core. Volumes come from the settings; sizes in bytes are
+    converted to units."""
 
     def __init__(self, settings: Settings, facts: Facts) -> None:
         self.gateway, self.facts = settings.gateway, facts
@@ -24,7 +25,7 @@
         }
 
     def parse(self, now: int, request: Any) -> ParsedRequest:
-        """The task as the module will see it, and what is wrong with it, if something is."""
+        """Return the task of a TASK frame that came at `now`, and the fault if it can't be held."""
         assert isinstance(request, TaskOf)
         volume, category = self.volumes.get(request.volume), self.categories.get(request.category)
         gateway, sizes = self.gateway, self.facts.sizes
@@ -39,47 +40,50 @@
             fault = f"size {request.size}; legal: {most} bytes at most"
         elif request.body not in ((request.size,) if category.writes else (0,)):
             fault = f"body of {request.body} bytes; legal: {request.size if category.writes else 0}"
-        kind = category or next(iter(self.categories.values()))
-        patience = min(request.patience // MICROSECONDS_PER_TICK, kind.deadline)
-        # Answers are due a stall's length before the client gives up, but never in the first half of its patience.
-        spare = min(int(gateway.stall_allowance_ms * TICKS_PER_MS), patience // 2)
+        task_category = category or next(iter(self.categories.values()))
+        patience = min(request.patience // MICROSECONDS_PER_TICK, task_category.deadline)
+        # The answer is due one stall's length before the client gives up, but never in the first half of its patience.
+        margin = min(int(gateway.stall_allowance_ms * TICKS_PER_MS), patience // 2)
         task = Task(
             None,
-            kind,
+            task_category,
             volume or next(iter(self.volumes.values()), Volume("", self.facts.plans[0])),
             float(units),
             None if request.shard < 0 else request.shard,
             request.key,
             now,
-            now + patience - spare,
+            now + patience - margin,
             request.again,
         )
         return ParsedRequest(task, request.body, request.size, fault)
 
     def word_from_share(self, share: Share) -> Word | None:
-        """Another gateway's word; None for one on a volume that is not in the settings here: not acted on."""
+        """Return another gateway's message as the module's record, None where its volume is not in the settings."""
         volume = self.volumes.get(share.volume) if share.volume is not None else None
         return Word(volume, share.units, share.gift) if volume is not None or share.volume is None else None
 
     def share_from_word(self, word: Word) -> Share:
+        """Return the SHARE frame for a message to other gateways."""
         return Share(self.facts.me, word.volume.handle if word.volume else None, word.units, word.gift)
 
 
 def bounds_of(gateway: Gateway) -> Bounds:
+    """Return the core's bounds from the settings."""
     return Bounds(gateway.open_tasks, gateway.body_memory, gateway.connection_memory)
 
 
 def configured_stores(settings: Settings) -> list[Row]:
-    """The stores named in the settings, as a list would tell of them."""
+    """Return the stores named in the settings, as rows of a list."""
     return [Row(row.name, row.address, row.zone, row.shard, "ready") for row in settings.stores]
 
 
 def answer_frame(final: FinalAnswer, body: list[bytes]) -> Answer:
+    """Return the ANSWER frame of a final answer."""
     return Answer(final.result, final.come_back * MICROSECONDS_PER_TICK, final.shard, final.reason, sum(map(len, body)))
 
 
 def hand_off_frame(attempt: Attempt, now: int) -> HandOffOf:
-    """What a store is told of a hand-off that leaves now."""
+    """Return the HAND_OFF frame for an attempt that is sent at `now`."""
     held, request, category = attempt.held, attempt.held.request, attempt.held.task.category
     return HandOffOf(
         held.id,
