--- a/tansykeel/edge/ask.py
+++ b/tansykeel/edge/ask.py
@@ -1,4 +1,4 @@
-"""Asks a running gateway or control node what it believes, over the protocol that clients speak."""
+"""Client for requests to a running gateway or control node, over the protocol that the gateway's clients use."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tansykeel.transport.sockets import connect
 
 HELLO = Hello(1, "client", "tansykeel-fleet")
-ANSWERS = ("edge", "control")  # the roles of whoever answers
+SERVER_ROLES = ("edge", "control")  # roles that may answer: a gateway, a control node
 FieldsT = TypeVar("FieldsT", bound=Fields)
 
 
@@ -25,20 +25,21 @@
 
 
 async def query_fleet(address: str, seconds: float) -> FleetTold:
-    """What a gateway believes of its fleet. Raises NotTold, also for an address that is none."""
+    """Return the state of the fleet as a gateway or control node sees it. Raises NotTold, also for an invalid
+    address."""
     return await request(address, FleetAsk(), FleetTold, seconds)
 
 
 async def declare_gone(address: str, names: tuple[str, ...], seconds: float) -> FleetTold:
-    """Tell a gateway that no process runs under these names. Raises NotTold, also where it is not taken."""
+    """Tell a gateway or control node that no process runs under these names. Raises NotTold, also where it refuses."""
     return await request(address, FleetWithout(names), FleetTold, seconds)
 
 
 async def exchange_maintenance(address: str, word: MaintenanceMessage, seconds: float) -> MaintenanceMessage:
-    """Say something of leave to a gateway; its answer. Raises NotTold, also for an address that is none."""
-    told = await request(address, Accord(*CODEC.encode(word)), AccordTold, seconds)
+    """Send a maintenance message to a gateway and return its answer. Raises NotTold, also for an invalid address."""
+    answer = await request(address, Accord(*CODEC.encode(word)), AccordTold, seconds)
     try:
-        return CODEC.decode(told.what, told.word)
+        return CODEC.decode(answer.what, answer.word)
     except MessageError as error:
         raise NotTold(str(error)) from None
 
@@ -46,27 +47,27 @@
 async def request(address: str, record: Fields, answer: type[FieldsT], seconds: float) -> FieldsT:
     """Send one request and return its answer, which is of the type `answer`. Raises NotTold."""
     hub = Hub(Limits(stall=seconds))
-    told: asyncio.Future[FieldsT] = asyncio.get_running_loop().create_future()
+    received: asyncio.Future[FieldsT] = asyncio.get_running_loop().create_future()
 
-    def event(link: Link, event: Event) -> None:
-        if not isinstance(event, Frame) or isinstance(event.record, Hello) or told.done():
+    def on_event(link: Link, event: Event) -> None:
+        if not isinstance(event, Frame) or isinstance(event.record, Hello) or received.done():
             return
         if isinstance(event.record, answer):
-            told.set_result(event.record)
+            received.set_result(event.record)
         elif isinstance(event.record, Error):
-            told.set_exception(NotTold(event.record.text))
+            received.set_exception(NotTold(event.record.text))
         elif event.stream:
-            told.set_exception(NotTold("it answered something else"))
+            received.set_exception(NotTold("it sent an unexpected answer"))
 
-    def lost(link: Link, why: str) -> None:
-        if not told.done():
-            told.set_exception(NotTold(why))
+    def on_lost(link: Link, why: str) -> None:
+        if not received.done():
+            received.set_exception(NotTold(why))
 
     try:
         async with asyncio.timeout(seconds):
-            link = Link(hub, await connect(address, seconds), Codec(*ANSWERS), HELLO, event, lost)
+            link = Link(hub, await connect(address, seconds), Codec(*SERVER_ROLES), HELLO, on_event, on_lost)
             link.send(1, record)
-            return await told
+            return await received
     except TimeoutError:
         raise NotTold(f"no answer within {seconds:g} s") from None
     except (OSError, ValueError) as error:
