--- a/tests/edge/test_listing.py
+++ b/tests/edge/test_listing.py
@@ -20,14 +20,14 @@
 
 
 class FakeList:
-    """A list service. `replies` says what it sends on each connection in turn, the last being the default: "nothing",
-    "page" (an incomplete list), "whole" (and then nothing), "whole, then quiet" (followed by empty changes)."""
+    """A list service. `replies` says what it sends on each connection in turn: "nothing", "incomplete" (a list whose
+    end is missing), "complete" (a list and then nothing) or "complete, then empty changes", which is the default."""
 
     def __init__(self, replies):
         self.replies, self.links, self.requests = replies, [], 0
 
     def accept(self, sock):
-        reply = self.replies.pop(0) if self.replies else "whole, then quiet"
+        reply = self.replies.pop(0) if self.replies else "complete, then empty changes"
         self.links.append(
             Link(
                 self.hub,
@@ -43,8 +43,8 @@
         if isinstance(event, Frame) and isinstance(event.record, ListAsk):
             self.requests += 1
             if reply != "nothing":
-                link.send(1, ListOf(True, 7, (ROW,), reply == "page"))
-            if reply == "whole, then quiet":
+                link.send(1, ListOf(True, 7, (ROW,), reply == "incomplete"))
+            if reply == "complete, then empty changes":
                 asyncio.create_task(self.send_empty_changes(link))
 
     async def send_empty_changes(self, link):
@@ -94,7 +94,7 @@
     monkeypatch.setattr(listing_module, "CHECK_INTERVAL", 0.02)
 
 
-@pytest.mark.parametrize("replies", [["nothing"], ["page"], ["whole"], ["nothing", "page", "whole"]])
+@pytest.mark.parametrize("replies", [["nothing"], ["incomplete"], ["complete"], ["nothing", "incomplete", "complete"]])
 def test_a_stalled_list_service_is_called_again(replies):
     """It stalls after its hello, in the middle of an answer, or after a complete one."""
 
