--- a/tansykeel/edge/trace.py
+++ b/tansykeel/edge/trace.py
@@ -53,7 +53,7 @@
     def _start_span(self, held: HeldTask, now: int) -> trace.Span:
         """Start a span that begins at the task's arrival; `now` is the current time."""
         request = held.request
-        age = max(now - held.task.arrived, 0) * 100_000
+        age = max(now - held.task.arrived, 0) * 100_000  # nanoseconds
         span = self._tracer.start_span(
             "task",
             start_time=time.time_ns() - age,
