--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -148,7 +148,7 @@
         loop.set_exception_handler(self._broken)
         listener = listening(self.settings.listens_at(self.core.facts.me))
         self.hub.start()
-        accepting = loop.create_task(accept_all(listener, self._accept, self.stores.pressure))
+        accepting = loop.create_task(accept_all(listener, self._accept, self.stores.free_descriptors))
         sweeping = loop.create_task(self._sweep())
         looking = loop.create_task(self._look())
         if self.settings.listing:
@@ -359,7 +359,7 @@
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP)
-            self.stores.sweep(asyncio.get_running_loop().time())
+            self.stores.close_idle(asyncio.get_running_loop().time())
 
     async def _look(self) -> None:
         while self.maintenance_agent:
--- a/tansykeel/edge/stores.py
+++ b/tansykeel/edge/stores.py
@@ -1,7 +1,7 @@
-"""Connections to stores: opened as they are needed, kept warm, closed when they idle.
+"""Connections to stores: opened when they are needed, kept open for reuse, and closed when they are idle for long.
 
-Nothing is sent before the store's hello: until then a connection that fails proves that nothing ran. A connection
-that is lost later tells every hand-off on it as RESET.
+Nothing is sent before the store's hello, so a connection that fails until then proves that nothing ran. When a
+connection is lost later, each open attempt on it ends with the outcome RESET.
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
 from tansykeel.transport.link import Hub, Link
 from tansykeel.transport.sockets import connect
 
-HOWS = {how.value: how for how in (How.DELIVERED, How.ERROR, How.FULL, How.MOOT, How.CANCELLED)}
+OUTCOMES = {how.value: how for how in (How.DELIVERED, How.ERROR, How.FULL, How.MOOT, How.CANCELLED)}  # by frame field
 
 
 class Connection:
-    """One connection to a store; `ready` once its hello came."""
+    """One connection to a store. It is `ready` once the store's hello came."""
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
         self.link: Link | None = None
         self.ready = False
-        self.out: dict[int, Attempt] = {}
-        self.answers: dict[int, tuple[OutcomeOf, list[bytes]]] = {}  # delivered, the body still coming
-        self.count = 0
+        self.attempts: dict[int, Attempt] = {}  # open ones, by stream
+        self.partial_answers: dict[int, tuple[OutcomeOf, list[bytes]]] = {}  # delivered, the body is still coming
+        self.last_stream = 0
         self.idle_since = 0.0
 
 
 class Pool:
-    """All connections of this gateway to one store."""
+    """All connections of this gateway to one store, and the attempts that wait for one of them."""
 
     def __init__(self, stores: Stores, store: Store) -> None:
         self.stores, self.store = stores, store
@@ -46,10 +46,12 @@
         self.waiting: deque[Attempt] = deque()
 
     def hand_off(self, attempt: Attempt) -> None:
-        connection = min((s for s in self.connections if s.ready), key=lambda s: len(s.out), default=None)
+        """Send an attempt on the ready connection with the fewest open attempts. If there is none or it is full, open
+        another one where that is allowed, and let the attempt wait."""
+        connection = min((c for c in self.connections if c.ready), key=lambda c: len(c.attempts), default=None)
         bounds = self.stores.gateway
-        if connection is None or len(connection.out) >= bounds.streams_per_connection:
-            opening = sum(not s.ready for s in self.connections)
+        if connection is None or len(connection.attempts) >= bounds.streams_per_connection:
+            opening = sum(not c.ready for c in self.connections)
             if (
                 opening * bounds.streams_per_connection <= len(self.waiting)
                 and len(self.connections) < bounds.connections_per_store
@@ -61,24 +63,25 @@
         self._send(connection, attempt)
 
     def withdraw(self, attempt: Attempt) -> bool:
-        """Take it back if it was never sent."""
+        """Take back an attempt that was not sent yet. Returns False for one that was."""
         if attempt not in self.waiting:
             return False
         self.waiting.remove(attempt)
-        self.stores.later(attempt, How.CANCELLED)
+        self.stores.report_outcome_later(attempt, How.CANCELLED)
         return True
 
     def cancel(self, attempt: Attempt) -> None:
+        """Take back an attempt, or tell the store to cancel it if it was sent."""
         if not self.withdraw(attempt) and isinstance(attempt.connection, tuple):
             connection, stream = attempt.connection
-            if connection.link and stream in connection.out:
+            if connection.link and stream in connection.attempts:
                 connection.link.drop_body(stream)
                 connection.link.send(stream, Cancel())
 
     def close_idle(self, before: float) -> None:
-        """Close connections with nothing out since `before`."""
+        """Close the connections that have been idle since `before` or longer."""
         for connection in list(self.connections):
-            if connection.ready and not connection.out and connection.idle_since <= before and connection.link:
+            if connection.ready and not connection.attempts and connection.idle_since <= before and connection.link:
                 connection.link.close()
 
     def _open(self) -> None:
@@ -89,102 +92,104 @@
     async def _connect(self, connection: Connection) -> None:
         timeout = self.stores.gateway.connect_timeout_ms / 1000
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started = loop.time()
         try:
             sock = await connect(self.stores.core.addresses[self.store], timeout)
         except (OSError, ValueError):
-            return self._failed(connection)
+            return self._on_failed(connection)
         connection.link = Link(
             self.stores.hub,
             sock,
             Codec("store"),
             self.stores.hello,
-            self._on_event(connection),
-            lambda link, why: self._lost(connection),
+            self._event_handler(connection),
+            lambda link, why: self._on_lost(connection),
         )
-        await asyncio.sleep(max(timeout - (loop.time() - begun), 0))
-        if not connection.ready and not connection.link.lost:  # accepts, and says nothing
+        await asyncio.sleep(max(timeout - (loop.time() - started), 0))
+        if not connection.ready and not connection.link.lost:  # the store accepted and then sent nothing
             connection.link.abort("no hello in time")
 
-    def _failed(self, connection: Connection) -> None:
+    def _on_failed(self, connection: Connection) -> None:
+        """A connection ended before the store's hello."""
         if connection in self.connections:
             self.connections.remove(connection)
         if not self.connections:
             while self.waiting:
-                self.stores.core_outcome(self.waiting.popleft(), How.NO_CONNECTION)
+                self.stores.report_outcome(self.waiting.popleft(), How.NO_CONNECTION)
 
-    def _lost(self, connection: Connection) -> None:
-        out, was_ready = list(connection.out.values()), connection.ready
-        connection.out.clear()
-        connection.answers.clear()
+    def _on_lost(self, connection: Connection) -> None:
+        attempts, was_ready = list(connection.attempts.values()), connection.ready
+        connection.attempts.clear()
+        connection.partial_answers.clear()
         if not was_ready:
-            return self._failed(connection)
+            return self._on_failed(connection)
         self.connections.remove(connection)
-        for attempt in out:
-            self.stores.core_outcome(attempt, How.RESET)
+        for attempt in attempts:
+            self.stores.report_outcome(attempt, How.RESET)
         if self.waiting and not self.connections:
             self._open()
 
     def _send(self, connection: Connection, attempt: Attempt) -> None:
         assert connection.link is not None
-        connection.count += 1
-        connection.out[connection.count] = attempt
-        attempt.connection = connection, connection.count
+        connection.last_stream += 1
+        connection.attempts[connection.last_stream] = attempt
+        attempt.connection = connection, connection.last_stream
         request = hand_off_frame(attempt, self.stores.clock())
-        connection.link.send(connection.count, request)
+        connection.link.send(connection.last_stream, request)
         if request.body:
-            connection.link.send_body(connection.count, attempt.held.body)
+            connection.link.send_body(connection.last_stream, attempt.held.body)
 
-    def _on_event(self, connection: Connection) -> Callable[[Link, Event], None]:
+    def _event_handler(self, connection: Connection) -> Callable[[Link, Event], None]:
         def on_event(link: Link, event: Event) -> None:
             if isinstance(event, Piece):
-                if event.stream in connection.answers:
-                    outcome, parts = connection.answers[event.stream]
+                if event.stream in connection.partial_answers:
+                    outcome, parts = connection.partial_answers[event.stream]
                     parts.append(event.data)
                     if event.last:
-                        del connection.answers[event.stream]
-                        self._done(connection, event.stream, outcome, parts)
+                        del connection.partial_answers[event.stream]
+                        self._finish(connection, event.stream, outcome, parts)
                 return
             if isinstance(event.record, Hello):
-                return self._ready(connection, event.record)
-            self._frame(connection, link, event)
+                return self._on_hello(connection, event.record)
+            self._on_frame(connection, link, event)
 
         return on_event
 
-    def _ready(self, connection: Connection, hello: Hello) -> None:
+    def _on_hello(self, connection: Connection, hello: Hello) -> None:
         connection.ready, connection.idle_since = True, asyncio.get_running_loop().time()
         if self.stores.core.store_connected(self.stores.clock(), self.store, hello.boot, hello.age):
-            # Guards against all that many gateways granted to a store whose restart they had not heard of: sent
-            # together it would push it over. It was not sent, and the module decides anew.
+            # The store has restarted, and these attempts were granted without knowing it. Sent together with those of
+            # other gateways they would overload it, so the module decides about them again.
             unsent, self.waiting = list(self.waiting), deque()
             for attempt in unsent:
-                self.stores.core_outcome(attempt, How.MOOT)
-        while self.waiting and len(connection.out) < self.stores.gateway.streams_per_connection:
+                self.stores.report_outcome(attempt, How.MOOT)
+        while self.waiting and len(connection.attempts) < self.stores.gateway.streams_per_connection:
             attempt = self.waiting.popleft()
             if not attempt.finished:
                 self._send(connection, attempt)
 
-    def _frame(self, connection: Connection, link: Link, event: Frame) -> None:
+    def _on_frame(self, connection: Connection, link: Link, event: Frame) -> None:
         outcome = event.record
-        attempt = connection.out.get(event.stream)
+        attempt = connection.attempts.get(event.stream)
         if not isinstance(outcome, OutcomeOf) or attempt is None:
-            return  # an outcome that came after its time-out, or an error frame before the end
+            return  # an outcome after its attempt ended, or an error frame before the connection's end
         if outcome.body > attempt.held.request.size:
-            link.abort(f"{outcome.body} bytes for a task of {attempt.held.request.size}")
+            link.abort(f"a body of {outcome.body} bytes for a task of {attempt.held.request.size} bytes")
         elif outcome.body:
-            connection.answers[event.stream] = outcome, []
+            connection.partial_answers[event.stream] = outcome, []
         else:
-            self._done(connection, event.stream, outcome, [])
+            self._finish(connection, event.stream, outcome, [])
 
-    def _done(self, connection: Connection, stream: int, outcome: OutcomeOf, parts: list[bytes]) -> None:
-        attempt = connection.out.pop(stream, None)
-        if not connection.out:
+    def _finish(self, connection: Connection, stream: int, outcome: OutcomeOf, parts: list[bytes]) -> None:
+        """Report a complete outcome to the core and send the next waiting attempt."""
+        attempt = connection.attempts.pop(stream, None)
+        if not connection.attempts:
             connection.idle_since = asyncio.get_running_loop().time()
         if attempt:
             self.stores.core.record_outcome(
                 self.stores.clock(),
                 attempt,
-                HOWS[outcome.how],
+                OUTCOMES[outcome.how],
                 shard=outcome.shard,
                 body=parts,
                 report=outcome.report,
@@ -198,40 +203,48 @@
 
 
 class Stores:
+    """The connection pools of all stores."""
+
     def __init__(self, core: Core, hub: Hub, gateway: Gateway, hello: Hello, clock: Callable[[], int]) -> None:
         self.core, self.hub, self.gateway, self.hello, self.clock = core, hub, gateway, hello, clock
         self.pools: dict[Store, Pool] = {}
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.tasks: set[asyncio.Task[None]] = set()  # running; the loop itself keeps no strong references to tasks
 
     def hand_off(self, attempt: Attempt) -> None:
+        """Send an attempt to its store, on a connection that is opened if necessary."""
         store = attempt.store
         if store not in self.pools:
             self.pools[store] = Pool(self, store)
         self.pools[store].hand_off(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
+        """Take back an attempt, or tell its store to cancel it if it was sent."""
         self.pools[attempt.store].cancel(attempt)
 
     def withdraw(self, attempt: Attempt) -> None:
+        """Take back an attempt if it was not sent yet."""
         self.pools[attempt.store].withdraw(attempt)
 
-    def sweep(self, now: float) -> None:
+    def close_idle(self, now: float) -> None:
+        """Close the connections that have been idle for longer than the settings allow."""
         for pool in self.pools.values():
             pool.close_idle(now - self.gateway.idle_close_s)
 
-    def pressure(self) -> None:
-        """No descriptor is left: what idles goes."""
+    def free_descriptors(self) -> None:
+        """Close all idle connections; called when the process is out of file descriptors."""
         for pool in self.pools.values():
             pool.close_idle(float("inf"))
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine in the background."""
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def later(self, attempt: Attempt, how: How) -> None:
-        """Tell the core of an outcome once it has returned."""
-        asyncio.get_running_loop().call_soon(self.core_outcome, attempt, how)
+    def report_outcome_later(self, attempt: Attempt, how: How) -> None:
+        """Report an outcome in the loop's next turn: the core may not be called back while it calls."""
+        asyncio.get_running_loop().call_soon(self.report_outcome, attempt, how)
 
-    def core_outcome(self, attempt: Attempt, how: How) -> None:
+    def report_outcome(self, attempt: Attempt, how: How) -> None:
+        """Report an attempt's outcome to the core."""
         self.core.record_outcome(self.clock(), attempt, how)
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -370,7 +370,7 @@
             client = await stage.client()
             await client.answer(client.ask())
             assert stage.edge.stores.pools
-            stage.edge.stores.pressure()
+            stage.edge.stores.free_descriptors()
             await until(lambda: not any(pool.connections for pool in stage.edge.stores.pools.values()))
             assert (await client.answer(client.ask())).result == DELIVERED
 
