--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -1,4 +1,4 @@
-"""The edge program: sockets around the core. It accepts clients, keeps the clock, ends on SIGTERM."""
+"""The gateway's program: the sockets, clock and signals around the core. It accepts clients and ends on SIGTERM."""
 
 from __future__ import annotations
 
@@ -47,14 +47,19 @@
 from tansykeel.transport.link import Hub, Limits, Link
 from tansykeel.transport.sockets import accept_all, accept_waiting, listening
 
-LINGERS = 0.25  # seconds in which a gateway that ends still answers what its clients had sent
-CLOSES = 0.5  # seconds in which a gateway that ends still tells its control node so
-SWEEP = 1.0  # seconds between looks at idle connections
-EXIT_FAILED = 70  # the module failed: everything held was answered, the process ends
+LAST_TASKS_WAIT = 0.25  # seconds for which a gateway that ends still takes what its clients have sent, to answer it
+CONTROL_CLOSE_WAIT = 0.5  # seconds for which a gateway that ends waits until its control session is closed
+IDLE_CHECK_INTERVAL = 1.0  # seconds between checks for idle connections
+EXIT_FAILED = 70  # exit code after a failure of the module or the program; held tasks are answered before
 
 
 class Edge:
-    """One gateway. `serve` runs it until SIGTERM; `ready` is called with its port once it takes tasks."""
+    """One gateway. `serve` runs it until SIGTERM.
+
+    One of `sample` answers is logged. `make_module` creates the decision module. `allotment_observer` and
+    `claim_observer` are called with each change of what this gateway counts as its own: with agreed views and with
+    control sessions respectively.
+    """
 
     def __init__(
         self,
@@ -63,20 +68,20 @@
         seed: int,
         trace: Trace | None = None,
         sample: int = 100,
-        decide: Callable[..., DecisionModule] = Scheduler,
+        make_module: Callable[..., DecisionModule] = Scheduler,
         allotment_observer: Counted | None = None,
         claim_observer: ClaimObserver | None = None,
     ) -> None:
         self.settings, self.gateway = settings, settings.gateway
         self.log = structlog.get_logger().bind(gateway=self.gateway.named(facts.me))
-        self.trace, self.sample, self._logged = trace, sample, 0
+        self.trace, self.sample, self._answers = trace, sample, 0
         self.incarnation = time.time_ns() & (2**62 - 1)
         self.hello = Hello(1, "edge", self.gateway.named(facts.me), self.incarnation, 0)
         self.hub = Hub(Limits(stall=settings.gateway.peer_stall_s))
         self.clients: set[Link] = set()
-        self._reminder = WakeupTimer(lambda now: self.core.run_timers(now))
-        self._asked = False
-        self.listing: StoreListClient | None = None
+        self._wakeup = WakeupTimer(lambda now: self.core.run_timers(now))
+        self._list_requested = False
+        self.list_client: StoreListClient | None = None
         self.failed = False
         self.stopping = asyncio.Event()
         self.native = NativeProtocol(settings, facts)
@@ -121,10 +126,10 @@
             bounds_of(self.gateway),
             self.native,
             configured_stores(settings),
-            decide,
-            self._allotments(),
+            make_module,
+            self._parts(),
         )
-        self.served: dict[str, list[int]] = {}  # by category: answered, and of those delivered in time
+        self.served: dict[str, list[int]] = {}  # by category: tasks answered, and of those delivered in time
         self.maintenance_agent: MaintenanceAgent | None = None
         if self.cluster_agent and settings.accord and settings.peers and state:
             self.maintenance_agent = MaintenanceAgent(
@@ -134,27 +139,28 @@
                 self.core,
                 dict(zip(settings.names(), settings.peers.addresses, strict=True)),
                 self.served,
-                self._tell_gateway,
+                self._send_to_gateway,
                 lambda sent: self.cluster_agent.say(sent) if self.cluster_agent else None,
                 self.log,
             )
         self.stores = Stores(self.core, self.hub, self.gateway, self.hello, clock)
 
     async def serve(self, ready: Callable[[int], None] = lambda port: None) -> int:
-        """Take tasks until SIGTERM, then answer what is held and return the exit code."""
+        """Take tasks until SIGTERM, then answer what is held and return the exit code. `ready` is called with the port
+        once tasks are taken."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stopping.set)
-        loop.set_exception_handler(self._broken)
+        loop.set_exception_handler(self._on_exception)
         listener = listening(self.settings.listens_at(self.core.facts.me))
         self.hub.start()
         accepting = loop.create_task(accept_all(listener, self._accept, self.stores.free_descriptors))
-        sweeping = loop.create_task(self._sweep())
-        looking = loop.create_task(self._look())
+        closing_idle = loop.create_task(self._close_idle())
+        maintaining = loop.create_task(self._run_maintenance())
         if self.settings.listing:
-            self.listing = StoreListClient(self.core, self.hub, self.settings.listing, self.hello, clock)
-            if self._asked or self.settings.listing.mode == "push":
-                self.listing.request()
+            self.list_client = StoreListClient(self.core, self.hub, self.settings.listing, self.hello, clock)
+            if self._list_requested or self.settings.listing.mode == "push":
+                self.list_client.request()
         port = listener.getsockname()[1]
         if self.cluster_agent:
             self.cluster_agent.start()
@@ -176,35 +182,36 @@
         for link in list(self.clients):
             link.send(0, Goodbye())
         if self.clients:
-            # Guards against tasks that were on their way when their client was told: closed under them, the connection
-            # takes them along unanswered.
-            await asyncio.sleep(LINGERS)
+            # Tasks may have been on their way when their clients were told that the gateway ends. If the connections
+            # were closed at once, these tasks would get no answer.
+            await asyncio.sleep(LAST_TASKS_WAIT)
         await self._wait_for(lambda: not self.core.held or self.failed, self.gateway.stop_within_s * 0.8)
         self.core.answer_all(clock())
         for link in list(self.clients):
             link.close()
         await self._wait_for(lambda: not self.clients, self.gateway.stop_within_s * 0.2)
-        sweeping.cancel()
-        looking.cancel()
-        if self.listing:
-            self.listing.end()
+        closing_idle.cancel()
+        maintaining.cancel()
+        if self.list_client:
+            self.list_client.end()
         if self.cluster_agent:
             self.cluster_agent.end()
         if self.peers:
             self.peers.end()
         if session := self.control_session:
-            await self._wait_for(lambda: session.ended, CLOSES)
+            await self._wait_for(lambda: session.ended, CONTROL_CLOSE_WAIT)
         await self.hub.stop()
         if self.trace:
             self.trace.end()
         self.log.info("stopped", left_unanswered=sum(not held.answered for held in self.core.held.values()))
         return EXIT_FAILED if self.failed else 0
 
-    # GatewayIO: what the core wants done
+    # GatewayIO: called by the core
 
     def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
+        """Send a final answer, and log one of `sample`."""
         link: Link = held.client
-        self._count(held, final)
+        self._count_served(held, final)
         link.send(held.id, answer_frame(final, body))
         if body:
             link.send_body(held.id, body, sent)
@@ -212,8 +219,8 @@
             sent()
         if self.trace:
             self.trace.answered(held, final)
-        self._logged += 1
-        if self._logged % self.sample == 0:
+        self._answers += 1
+        if self._answers % self.sample == 0:
             self.log.info(
                 "answered",
                 task=held.id,
@@ -227,46 +234,53 @@
             )
 
     def hand_off(self, attempt: Attempt) -> None:
+        """Send an attempt to its store."""
         if self.trace:
             self.trace.handed_off(attempt)
         self.stores.hand_off(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
+        """Take back an attempt, or tell its store to cancel it if it was sent."""
         self.stores.cancel(attempt)
 
     def withdraw(self, attempt: Attempt) -> None:
+        """Take back an attempt if it was not sent yet."""
         self.stores.withdraw(attempt)
 
     def set_wakeup(self, at: int) -> None:
-        self._reminder.set(at)
+        """Have the core run its timers at that time."""
+        self._wakeup.set(at)
 
     def request_store_list(self) -> None:
-        self._asked = True  # the module may ask before the program runs
-        if self.listing:
-            self.listing.request()
+        """Request the list of stores and its changes, now or once the program runs."""
+        self._list_requested = True  # the module may ask before the program runs
+        if self.list_client:
+            self.list_client.request()
 
     def send_to_peer(self, peer: int | None, word: Word) -> None:
+        """Send a message to another gateway, or to all others where `peer` is None."""
         if self.peers:
             self.peers.tell(peer, Urgency.HINT, self.native.share_from_word(word))
 
     def log_event(self, event: str, **fields: Any) -> None:
+        """Write a line of the log."""
         self.log.info(event, **fields)
 
-    # Within
+    # Internal
 
-    def _allotments(self) -> Parts | None:
-        """Return what tells the gateway's part of the wholes that all gateways divide; none: each has an even part."""
+    def _parts(self) -> Parts | None:
+        """Return what tells this gateway's part of what all gateways divide; None: each has an equal part."""
         if self.cluster_agent:
             return self.cluster_agent.cluster_member.parts
         return self.control_session.allotments if self.control_session else None
 
     def _accept(self, sock: Any) -> None:
-        link = Link(self.hub, sock, Codec("client", "peer"), self.hello, self._event, self._gone)
+        link = Link(self.hub, sock, Codec("client", "peer"), self.hello, self._on_event, self._on_lost)
         self.clients.add(link)
         if self.core.stopping:
             link.send(0, Goodbye())
 
-    def _event(self, link: Link, event: Event) -> None:
+    def _on_event(self, link: Link, event: Event) -> None:
         if isinstance(event, Piece):
             self.core.receive_body(clock(), link, event.stream, event.data)
             return
@@ -282,42 +296,43 @@
             case Hello() as hello:
                 if self.peers and hello.role == "peer":
                     self.peers.came(link, hello)
-            case Share() | Watch() as word:
-                self._peer_message(link, word)
+            case Share() | Watch() as message:
+                self._peer_message(link, message)
             case Cut():
                 self.core.cancel_task(clock(), link, event.stream)
-            case Accord() as said:
-                self._maintenance_message(link, event.stream, said)
-            case FleetAsk() | FleetWithout() as told:
+            case Accord() as frame:
+                self._maintenance_message(link, event.stream, frame)
+            case FleetAsk() | FleetWithout() as fleet_request:
                 if self.cluster_agent is None:
                     raise ProtocolError(
                         "FLEET_ASK: this gateway agrees with no others; legal: one whose settings have "
                         "peers(agree = True)"
                     )
-                if isinstance(told, FleetWithout):
+                if isinstance(fleet_request, FleetWithout):
                     try:
-                        self.cluster_agent.cluster_member.go_without(told.names)
+                        self.cluster_agent.cluster_member.go_without(fleet_request.names)
                     except MemberStillAlive as error:
                         raise ProtocolError(f"FLEET_WITHOUT: {error}; {error.do}") from None
-                    self.log.info("goes without", names=list(told.names))
+                    self.log.info("goes without", names=list(fleet_request.names))
                 link.send(event.stream, self.cluster_agent.told_of())
 
-    def _peer_message(self, link: Link, word: Any) -> None:
-        """Another gateway says something, on whichever connection there is."""
-        match word:
+    def _peer_message(self, link: Link, message: Any) -> None:
+        """Handle a message of another gateway, on whichever connection it came."""
+        match message:
             case Share():
-                if told := self.native.word_from_share(word):
-                    self.core.receive_peer_message(clock(), word.sender, told)
+                if word := self.native.word_from_share(message):
+                    self.core.receive_peer_message(clock(), message.sender, word)
             case Watch():
                 if self.cluster_agent and link.peer:
-                    self.cluster_agent.heard(link.peer, word)
+                    self.cluster_agent.heard(link.peer, message)
             case Accord():
-                self._maintenance_message(link, 0, word)
+                self._maintenance_message(link, 0, message)
             case Goodbye():
-                link.close()  # it ends, and would not take what is said to it any more
+                link.close()  # the peer ends and would not read further messages
 
-    def _count(self, held: HeldTask, final: FinalAnswer) -> None:
-        """For the comparison of versions: what a limit refuses tells of its volume, and of no version."""
+    def _count_served(self, held: HeldTask, final: FinalAnswer) -> None:
+        """Count an answer for the comparison of program versions. Volumes with a limit are left out: what their limit
+        refuses tells nothing about the version."""
         if held.task.volume.plan.limit:
             return
         counts = self.served.setdefault(held.task.category.name, [0, 0])
@@ -325,11 +340,11 @@
         counts[0] += 1
         counts[1] += final.result == DELIVERED and lag <= soft_limit
 
-    def _maintenance_message(self, link: Link, stream: int, said: Accord) -> None:
+    def _maintenance_message(self, link: Link, stream: int, frame: Accord) -> None:
         if self.maintenance_agent is None:
             raise ProtocolError("ACCORD: this gateway gives no leave; legal: one whose settings have accord(...)")
         try:
-            word = CODEC.decode(said.what, said.word)
+            word = CODEC.decode(frame.what, frame.word)
         except MessageError as error:
             raise ProtocolError(f"ACCORD: {error}") from None
         if isinstance(word, Figures):
@@ -340,28 +355,28 @@
             word, lambda answer: None if link.lost else link.send(stream, AccordTold(*CODEC.encode(answer)))
         )
 
-    def _tell_gateway(self, name: str, word: MaintenanceMessage) -> None:
+    def _send_to_gateway(self, name: str, word: MaintenanceMessage) -> None:
         if self.peers and name in self.peers.by_name:
             self.peers.by_name[name].tell(Urgency.HINT, Accord(*CODEC.encode(word)))
 
-    def _gone(self, link: Link, why: str) -> None:
+    def _on_lost(self, link: Link, why: str) -> None:
         self.clients.discard(link)
         self.core.client_disconnected(clock(), link)
 
-    def _broken(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """The module or this program failed: answer what is held and end; a supervisor starts a new one."""
+    def _on_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Handle a failure of the module or the program: answer what is held and end. A supervisor restarts it."""
         error = context.get("exception")
         self.log.error("failed", message=context.get("message"), exc_info=error)
         self.failed = True
         self.core.stop()
         self.stopping.set()
 
-    async def _sweep(self) -> None:
+    async def _close_idle(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP)
+            await asyncio.sleep(IDLE_CHECK_INTERVAL)
             self.stores.close_idle(asyncio.get_running_loop().time())
 
-    async def _look(self) -> None:
+    async def _run_maintenance(self) -> None:
         while self.maintenance_agent:
             await asyncio.sleep(LOOKS_EVERY)
             self.maintenance_agent.look()
