--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -1,4 +1,4 @@
-"""The gateway on sockets: each hard case is caused, and what its client hears is looked at."""
+"""The gateway on sockets: what its clients receive when bodies, stores, clients or the gateway itself fail."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from stage import FakeStore, deliver, hang, reset, run_test, staged, tell, until
+from stage import FakeStore, deliver, hang, reply_outcome, reset, run_test, staged, until
 
 from tansykeel.brain.cold import BY_ASKED
 from tansykeel.protocol.frames import Cancel, Cut, Error, Goodbye, OutcomeOf, TaskOf
@@ -15,7 +15,7 @@
 DELIVERED, NACKED, BROKEN_OFF = 0, 1, 2
 
 
-def test_a_write_and_a_read_go_all_the_way():
+def test_a_write_and_a_read_are_delivered_with_their_bodies():
     async def go():
         got = []
 
@@ -64,7 +64,7 @@
             assert stage.edge.core.memory.used == 500_000
             client.link.abort("vanishes", reset=True)
             await until(lambda: not stage.edge.core.held)
-            assert stage.edge.core.memory.used == 0 and not stage.stores[0].handed
+            assert stage.edge.core.memory.used == 0 and not stage.stores[0].received
             other = await stage.client()
             assert (await other.answer(other.ask())).result == DELIVERED
 
@@ -84,14 +84,14 @@
             client.link.send_body(second, [b"w" * 160_000])
             assert (await client.answer(second)).result == DELIVERED
             await until(lambda: not stage.edge.core.held)
-            assert [h.task for h in stage.stores[0].handed][-1] == second and first not in client.answers
+            assert [h.task for h in stage.stores[0].received][-1] == second and first not in client.answers
 
     run_test(go())
 
 
-@pytest.mark.parametrize("first_ends", ["whole", "cut"])
+@pytest.mark.parametrize("first_ends", ["complete", "cut"])
 def test_a_small_body_does_not_overtake_a_large_one_of_its_key(first_ends):
-    """Guards against order by whose body is whole: what counts is which task was taken first."""
+    """Guards against tasks ordered by when their bodies are complete: the order in which they came counts."""
 
     async def go():
         async with staged(FakeStore("s0", 0, deliver)) as stage:
@@ -100,32 +100,32 @@
             client.send_part(first, 60_000)
             second, other = client.ask("log", 1000, key=5), client.ask("log", 1000, key=6)
             assert (await client.answer(other)).result == DELIVERED
-            assert [h.task for h in stage.stores[0].handed] == [other]
-            if first_ends == "whole":
+            assert [h.task for h in stage.stores[0].received] == [other]
+            if first_ends == "complete":
                 client.send_part(first, 40_000)
             else:
                 client.link.send(first, Cut())
             assert (await client.answer(second)).result == DELIVERED
-            order = [other, first, second] if first_ends == "whole" else [other, second]
-            assert [h.task for h in stage.stores[0].handed] == order
+            order = [other, first, second] if first_ends == "complete" else [other, second]
+            assert [h.task for h in stage.stores[0].received] == order
             await until(lambda: not stage.edge.core.held)
             assert not stage.edge.core.unstarted
 
     run_test(go())
 
 
-@pytest.mark.parametrize("category, result, handed", [("write", DELIVERED, 2), ("post", BROKEN_OFF, 1)])
-def test_a_store_that_dies_between_body_and_outcome(category, result, handed):
-    """A reset may have run: a harmless task is tried again, a one-shot one broken off at once."""
+@pytest.mark.parametrize("category, result, hand_offs", [("write", DELIVERED, 2), ("post", BROKEN_OFF, 1)])
+def test_a_store_that_dies_between_body_and_outcome(category, result, hand_offs):
+    """A task may have run before the reset: a harmless one is tried again, a one-shot one broken off at once."""
 
     async def go():
         def first_dies(store, link, stream, request, body):
-            (reset if len(store.handed) == 1 else deliver)(store, link, stream, request, body)
+            (reset if len(store.received) == 1 else deliver)(store, link, stream, request, body)
 
         async with staged(FakeStore("s0", 0, first_dies)) as stage:
             client = await stage.client()
             assert (await client.answer(client.ask(category, 100_000))).result == result
-            assert [h.number for h in stage.stores[0].handed] == list(range(handed))
+            assert [h.number for h in stage.stores[0].received] == list(range(hand_offs))
 
     run_test(go())
 
@@ -133,19 +133,19 @@
 def test_a_stamped_task_goes_again_over_a_reset_with_its_mark():
     async def go():
         def first_dies(store, link, stream, request, body):
-            (reset if len(store.handed) == 1 else deliver)(store, link, stream, request, body)
+            (reset if len(store.received) == 1 else deliver)(store, link, stream, request, body)
 
         async with staged(FakeStore("s0", 0, first_dies), FakeStore("s1", 1, deliver)) as stage:
             client = await stage.client()
             assert (await client.answer(client.ask("pay", 1000))).result == DELIVERED
-            first, again = stage.stores[0].handed
-            assert first.mark == again.mark and again.repeat == "stamped" and not stage.stores[1].handed
+            first, again = stage.stores[0].received
+            assert first.mark == again.mark and again.repeat == "stamped" and not stage.stores[1].received
 
     run_test(go())
 
 
 def test_a_store_that_resets_each_connection_counts_as_not_reached():
-    """Nothing was sent before its hello: even a one-shot task may be nacked."""
+    """Nothing is sent before the store's hello, so even a one-shot task may be nacked."""
 
     async def go():
         store = FakeStore("s0", 0, deliver)
@@ -161,38 +161,38 @@
 def test_a_store_that_accepts_and_says_nothing_counts_as_not_reached():
     async def go():
         store = FakeStore("s0", 0, deliver)
-        store.says_hello = False
+        store.sends_hello = False
         async with staged(store, connect=200) as stage:
             client = await stage.client()
             assert (await client.answer(client.ask("post", patience=2))).result == NACKED
-            assert stage.edge.core.counts.outcomes["no connection"] >= 1 and not store.handed
+            assert stage.edge.core.counts.outcomes["no connection"] >= 1 and not store.received
 
     run_test(go())
 
 
-def test_a_store_that_never_answers_costs_its_client_no_answer():
+def test_clients_of_a_store_that_never_answers_are_answered():
     async def go():
         async with staged(FakeStore("s0", 0, hang)) as stage:
             client = await stage.client()
             harmless, one_shot = client.ask(patience=0.6), client.ask("post", patience=0.6)
             assert (await client.answer(harmless)).result == NACKED
             assert (await client.answer(one_shot)).result == BROKEN_OFF
-            await until(lambda: len(stage.stores[0].cancelled) == len(stage.stores[0].handed))
+            await until(lambda: len(stage.stores[0].cancelled) == len(stage.stores[0].received))
 
     run_test(go())
 
 
 def test_a_full_store_is_tried_again_within_the_hand_offs_allowed():
     async def go():
-        async with staged(FakeStore("s0", 0, tell("full"))) as stage:
+        async with staged(FakeStore("s0", 0, reply_outcome("full"))) as stage:
             client = await stage.client()
             assert (await client.answer(client.ask("post", patience=3))).result == NACKED
-            assert 1 <= len(stage.stores[0].handed) <= 3
+            assert 1 <= len(stage.stores[0].received) <= 3
 
     run_test(go())
 
 
-def test_a_drain_told_while_ten_hand_offs_are_out_lets_them_end_and_sends_nothing_new():
+def test_a_drain_lets_the_ten_open_hand_offs_finish_and_sends_nothing_new():
     async def go():
         held = []
 
@@ -210,7 +210,7 @@
             for link, stream in held:
                 link.send(stream, OutcomeOf("delivered", 0))
             assert [(await client.answer(task)).result for task in tasks] == [DELIVERED] * 10
-            assert len(stage.stores[0].handed) == 10
+            assert len(stage.stores[0].received) == 10
 
     run_test(go())
 
@@ -223,14 +223,14 @@
             client = await stage.client()
             stage.listed(stage.row(old, "gone"), stage.row(new))
             assert (await client.answer(client.ask())).result == DELIVERED
-            assert not old.handed and len(new.handed) == 1
+            assert not old.received and len(new.received) == 1
         await new.stop()
 
     run_test(go())
 
 
-def test_a_store_whose_hello_tells_a_new_boot_counts_as_cold_before_the_first_hand_off():
-    """Guards against a list that tells of a restart seconds late: the sum over all gateways would be too much."""
+def test_a_store_whose_hello_has_a_new_boot_id_counts_as_cold_before_the_first_hand_off():
+    """Guards against overload by all gateways together when the list reports a restart seconds late."""
     cold = "hand_offs = 3, cold = cold(share = 0.2, warm_s = 600, multiple = 2, span_s = 10, always_safe = 20)"
 
     async def go():
@@ -239,9 +239,9 @@
         async with staged(store, rules=cold) as stage:
             client = await stage.client()
             results = [(await client.answer(client.ask(size=1, patience=0.5))).result for _ in range(12)]
-            # Of what is asked it bears 2 * 0.2, and twice that with no queue there, and a little by time.
-            assert NACKED in results and 1 <= sum(h.units for h in store.handed) <= 12 * BY_ASKED * 2 * 2 * 0.2 + 1.5
-            assert stage.edge.core.counts.outcomes["moot"] == 1  # granted before the hello, not sent
+            # It may get 2 * 0.2 of what is asked, twice that while it has no queue, and a little more with time.
+            assert NACKED in results and 1 <= sum(h.units for h in store.received) <= 12 * BY_ASKED * 2 * 2 * 0.2 + 1.5
+            assert stage.edge.core.counts.outcomes["moot"] == 1  # decided before the hello and not sent
 
     run_test(go())
 
@@ -255,7 +255,7 @@
             assert (await client.answer(task)).result == NACKED
             held = stage.edge.core.held
             await until(lambda: not held)
-            assert loop.time() - begun < 5  # its category's deadline: far later than its patience
+            assert loop.time() - begun < 5  # the category's deadline, far later than the client's patience
 
     run_test(go())
 
@@ -272,7 +272,7 @@
         async with staged(FakeStore("s0", 0, cancelled)) as stage:
             client = await stage.client()
             task = client.ask()
-            await until(lambda: stage.stores[0].handed)
+            await until(lambda: stage.stores[0].received)
             client.link.send(task, Cancel())
             await until(lambda: not stage.edge.core.held)
             assert stage.edge.core.counts.outcomes == {"cancelled": 1} and not client.answers
@@ -285,7 +285,7 @@
         async with staged(FakeStore("s0", 0, hang), memory=1 << 20) as stage:
             client = await stage.client()
             client.ask("write", 900_000, patience=30)
-            await until(lambda: stage.stores[0].handed)
+            await until(lambda: stage.stores[0].received)
             answer = await client.answer(client.ask("write", 900_000, patience=30))
             assert answer.result == NACKED and "memory" in answer.reason
 
@@ -305,7 +305,7 @@
                 assert stage.edge.core.memory.used <= 8 << 20
             other = await stage.client()
             await until(lambda: stage.edge.core.memory.used == 0, 30)
-            # The flood's lags count for 2 s, on a busy machine beyond this moment: until then a nack is right.
+            # The flood's lags count for 2 s, on a busy machine longer than until here; up to then a nack is right.
             results = []
             while DELIVERED not in results:
                 assert len(results) < 50 and results == [NACKED] * len(results)
@@ -322,7 +322,7 @@
             bad.ask()
             bad.link.send(1, TaskOf("v", "read", 1, 1, 0, 10**6, 1))
             await bad.lost.wait()
-            assert any(isinstance(said, Error) and "still held" in said.text for said in bad.said)
+            assert any(isinstance(record, Error) and "still held" in record.text for record in bad.received)
             task = good.ask(patience=0.4)
             assert (await good.answer(task)).result == NACKED
 
@@ -334,9 +334,9 @@
         async with staged(FakeStore("s0", 0, hang)) as stage:
             client = await stage.client()
             tasks = [client.ask("post", patience=60, size=1) for _ in range(3)]
-            await until(lambda: len(stage.stores[0].handed) == 3)
+            await until(lambda: len(stage.stores[0].received) == 3)
             signal.raise_signal(signal.SIGTERM)
-            await until(lambda: any(isinstance(said, Goodbye) for said in client.said))
+            await until(lambda: any(isinstance(record, Goodbye) for record in client.received))
             late = client.ask()
             assert (await client.answer(late)).reason == "stopping"
             for task in tasks:
@@ -347,8 +347,9 @@
     run_test(go())
 
 
-def test_what_was_on_its_way_when_the_gateway_was_told_to_end_is_answered():
-    """Nothing is held, so nothing else keeps it: the task comes after its end began and before its client heard so."""
+def test_a_task_sent_before_its_client_knows_of_the_shutdown_is_answered():
+    """Guards against connections closed as soon as nothing is held: this task comes when the shutdown has begun and
+    its client has not heard of it yet."""
 
     async def go():
         async with staged(FakeStore("s0", 0, deliver)) as stage:
@@ -377,10 +378,10 @@
     run_test(go())
 
 
-def test_who_waits_in_the_listeners_queue_at_the_end_is_told_so():
-    """More connections than one turn of the loop accepts: those left were reset as the listener closed."""
+def test_connections_in_the_accept_queue_at_shutdown_are_not_reset():
+    """Guards against resets when the listener closes: there are more connections than one turn of the loop accepts."""
 
-    def told(sock):
+    def received(sock):
         sock.settimeout(5)
         try:
             return sock.recv(1 << 16)
@@ -391,8 +392,8 @@
         async with staged(FakeStore("s0", 0, deliver)) as stage:
             stage.edge.stopping.set()
             waiting = [socket.create_connection(("127.0.0.1", stage.port)) for _ in range(60)]
-            heard = await asyncio.gather(*(asyncio.to_thread(told, sock) for sock in waiting))
-            assert all(heard)
+            data = await asyncio.gather(*(asyncio.to_thread(received, sock) for sock in waiting))
+            assert all(data)
             for sock in waiting:
                 sock.close()
 
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -1,4 +1,4 @@
-"""A gateway on real loopback sockets in the test's own loop, with scripted stores and raw clients around it."""
+"""A gateway on loopback sockets in the test's own event loop, with scripted stores and plain clients."""
 
 from __future__ import annotations
 
@@ -46,12 +46,12 @@
 
 
 class FakeStore:
-    """A store that does as `reply(store, link, stream, request, body)` says; it notes what it was handed."""
+    """A store that calls `reply(store, link, stream, request, body)` for each hand-off and records what it received."""
 
     def __init__(self, name, shard, reply):
         self.name, self.shard, self.reply = name, shard, reply
-        self.handed, self.cancelled, self.bodies = [], [], {}
-        self.boot, self.age, self.says_hello = 1, 0, True
+        self.received, self.cancelled, self.bodies = [], [], {}
+        self.boot, self.age, self.sends_hello = 1, 0, True
         self.links = []
 
     async def start(self):
@@ -67,29 +67,29 @@
             sock,
             Codec("edge"),
             Hello(1, "store", self.name, self.boot, self.age),
-            self.event,
+            self.on_event,
             lambda link, why: None,
         )
-        if not self.says_hello:
+        if not self.sends_hello:
             link.outgoing.clear()
         self.links.append(link)
 
-    def event(self, link, event):
+    def on_event(self, link, event):
         if isinstance(event, Piece):
             request, parts = self.bodies[link, event.stream]
             parts.append(event.data)
             if event.last:
-                self.take(link, event.stream, request, b"".join(parts))
+                self.receive(link, event.stream, request, b"".join(parts))
         elif isinstance(event.record, HandOffOf):
             if event.record.body:
                 self.bodies[link, event.stream] = event.record, []
             else:
-                self.take(link, event.stream, event.record, b"")
+                self.receive(link, event.stream, event.record, b"")
         elif isinstance(event.record, Cancel):
             self.cancelled.append(event.stream)
 
-    def take(self, link, stream, request, body):
-        self.handed.append(request)
+    def receive(self, link, stream, request, body):
+        self.received.append(request)
         self.reply(self, link, stream, request, body)
 
     async def stop(self):
@@ -99,39 +99,44 @@
 
 
 def deliver(store, link, stream, request, body):
+    """Reply with the outcome "delivered"; a read gets a body made of its key."""
     data = b"" if request.writes else bytes([request.key % 256]) * request.size
     link.send(stream, OutcomeOf("delivered", store.shard, body=len(data)))
     link.send_body(stream, [data])
 
 
-def tell(how):
+def reply_outcome(how):
+    """Return a reply with this outcome."""
     return lambda store, link, stream, request, body: link.send(stream, OutcomeOf(how, store.shard))
 
 
 def hang(store, link, stream, request, body):
-    pass
+    """Never reply."""
 
 
 def reset(store, link, stream, request, body):
+    """Reset the connection."""
     link.abort("dies", reset=True)
 
 
 class Client:
+    """A client that records the final answers, the bodies and all frames that it receives."""
+
     def __init__(self, stage):
         self.stage = stage
-        self.answers, self.bodies, self.count, self.lost, self.said = {}, {}, 0, asyncio.Event(), []
+        self.answers, self.bodies, self.last_id, self.lost, self.received = {}, {}, 0, asyncio.Event(), []
 
     async def start(self):
         sock = await connect(f"127.0.0.1:{self.stage.port}", 5)
-        self.link = Link(self.stage.hub, sock, Codec("edge"), Hello(1, "client", "c"), self.event, self.gone)
+        self.link = Link(self.stage.hub, sock, Codec("edge"), Hello(1, "client", "c"), self.on_event, self.on_lost)
         return self
 
-    def gone(self, link, why):
+    def on_lost(self, link, why):
         self.lost.set()
 
-    def event(self, link, event):
+    def on_event(self, link, event):
         if isinstance(event, Frame):
-            self.said.append(event.record)
+            self.received.append(event.record)
             if isinstance(event.record, Answer):
                 assert event.stream not in self.answers, "a second final answer"
                 self.answers[event.stream] = event.record
@@ -139,38 +144,41 @@
             self.bodies[event.stream] = self.bodies.get(event.stream, b"") + event.data
 
     def ask(self, category="read", size=100, shard=0, key=7, patience=4.0, body=None, volume="v"):
-        """Send a task; a write's body goes with it, or only the bytes given."""
-        self.count += 1
+        """Send a task and return its id. A write's whole body is sent too, but nothing of it if `body` is given."""
+        self.last_id += 1
         writes = category != "read"
         self.link.send(
-            self.count,
-            TaskOf(volume, category, key, size, shard, int(patience * 1e6), self.count, False, size if writes else 0),
+            self.last_id,
+            TaskOf(volume, category, key, size, shard, int(patience * 1e6), self.last_id, False, size if writes else 0),
         )
         if writes and body is None:
-            self.link.send_body(self.count, [b"w" * size])
-        return self.count
+            self.link.send_body(self.last_id, [b"w" * size])
+        return self.last_id
 
     def send_part(self, task, size):
-        """Some bytes of a body, and no more for now."""
+        """Send some bytes of a body and leave it incomplete."""
         raw = chunk_head(task, size) + b"w" * size
         self.link.outgoing._frames.append(raw)
         self.link.outgoing.held += len(raw)
         self.link._wake_writer()
 
     async def answer(self, task):
+        """Wait for a task's final answer."""
         await until(lambda: task in self.answers)
         return self.answers[task]
 
 
-async def until(true, seconds=15.0):
-    """Wait until something is so. The bound only ends a test that has failed."""
+async def until(condition, seconds=15.0):
+    """Wait until the condition holds. The time limit only ends a test that has failed."""
     end = asyncio.get_running_loop().time() + seconds
-    while not true():
-        assert asyncio.get_running_loop().time() < end, "it did not come to that"
+    while not condition():
+        assert asyncio.get_running_loop().time() < end, "the condition was not met in time"
         await asyncio.sleep(0.005)
 
 
 class Stage:
+    """A running gateway with its stores and settings; makes clients and sends the gateway list updates."""
+
     def __init__(self, settings, stores):
         self.settings, self.stores = settings, stores
         self.hub = Hub(Limits(stall=60, high_water=1 << 30))
@@ -178,18 +186,21 @@
         self.version = 1
 
     async def client(self):
+        """Connect a client."""
         return await Client(self).start()
 
     def listed(self, *rows, full=False):
-        """Tell the gateway's core of the list as its connection would."""
+        """Give the gateway's core a list update, as the connection to the list service would."""
         self.version += 1
         self.edge.core.apply_list_update(clock(), ListOf(full, self.version, rows))
 
     def row(self, store, state="ready"):
+        """Return a store's row of the list."""
         return Row(store.name, store.address, 0, store.shard, state, store.boot, store.age)
 
 
 def settings_with(stores, extra="", **changes):
+    """Return the settings of a gateway with these stores; `changes` replace DEFAULTS, `extra` is added as text."""
     text = BASE.format(**(DEFAULTS | changes)) + extra
     text += "".join(f'store("{s.name}", address = "{s.address}", shard = {s.shard})\n' for s in stores)
     collected = Script()
@@ -199,12 +210,13 @@
 
 @asynccontextmanager
 async def staged(*stores, extra="", **changes):
+    """Run a gateway with these stores while the block runs."""
     for store in stores:
         await store.start()
-    made = settings_with(stores, extra, **changes)
-    stage = Stage(made, stores)
+    settings = settings_with(stores, extra, **changes)
+    stage = Stage(settings, stores)
     stage.hub.start()
-    stage.edge = Edge(made, facts_of(made, 0, 1), 1, sample=10**9)
+    stage.edge = Edge(settings, facts_of(settings, 0, 1), 1, sample=10**9)
     ready = asyncio.get_running_loop().create_future()
     serving = asyncio.create_task(stage.edge.serve(ready.set_result))
     stage.port = await ready
@@ -220,6 +232,7 @@
 
 
 def free_address():
+    """Return a loopback address whose port is free."""
     sock = listening("127.0.0.1:0")
     address = f"127.0.0.1:{sock.getsockname()[1]}"
     sock.close()
@@ -227,6 +240,8 @@
 
 
 def run_test(coroutine, seconds=40):
+    """Run a test's coroutine; it fails after `seconds`."""
+
     async def bounded():
         async with asyncio.timeout(seconds):
             await coroutine
