--- a/tests/broken_edge.py
+++ b/tests/broken_edge.py
@@ -1,4 +1,7 @@
-"""Gateways that are broken on purpose, one for each rule: `broken_edge.py FAULT SETTINGS …`"""
+"""Runs a gateway with a planted fault that breaks one rule of the audit: `broken_edge.py FAULT SETTINGS …`
+
+The functions up to `main` are the faults. Each plants itself and returns the facts for the gateway.
+"""
 
 from __future__ import annotations
 
@@ -20,53 +23,63 @@
 
 
 def answers_twice(facts):
-    def twice(self, held, answer, body, sent, once=Edge.answer):
-        once(self, held, answer, body, sent)
+    """Every twentieth task id gets a second final answer, if the answer has no body."""
+
+    def answer_twice(self, held, final, body, sent, answer=Edge.answer):
+        answer(self, held, final, body, sent)
         if held.id % 20 == 0 and not body:
-            once(self, held, answer, body, lambda: None)
+            answer(self, held, final, body, lambda: None)
 
-    Edge.answer = twice
+    Edge.answer = answer_twice
     return facts
 
 
 def sends_one_shots_again(facts):
-    def again(self, task):
+    """Any task is sent again, also a one-shot one that may have run."""
+
+    def may_hand_off(self, task):
         return task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline
 
-    Scheduler.may_hand_off = again
+    Scheduler.may_hand_off = may_hand_off
     Scheduler.in_group = lambda self, task, store: True
     return facts
 
 
 def hears_of_no_drain(facts):
-    def listed(self, now, update, heard=Core.apply_list_update):
+    """Every store of the list counts as ready."""
+
+    def apply_as_ready(self, now, update, apply=Core.apply_list_update):
         import msgspec
 
         rows = tuple(msgspec.structs.replace(row, state="ready") for row in update.rows)
-        heard(self, now, msgspec.structs.replace(update, rows=rows))
+        apply(self, now, msgspec.structs.replace(update, rows=rows))
 
-    Core.apply_list_update = listed
+    Core.apply_list_update = apply_as_ready
     return facts
 
 
 def knows_no_cold_store(facts):
+    """Restarted stores get as much as warm ones."""
     return replace(facts, cold=None)
 
 
 def keeps_no_order(facts):
+    """Ordered categories are treated as unordered ones."""
     return replace(facts, categories=tuple(replace(c, ordered=False) for c in facts.categories))
 
 
 def has_no_budget(facts):
+    """Hand-offs beyond the first are not limited by the budget."""
     return replace(facts, budget=None)
 
 
 def knows_no_limit(facts):
+    """The volumes' limits are ignored."""
     return replace(facts, plans=tuple(replace(p, limit=0.0) for p in facts.plans))
 
 
 def counts_without_leases(facts):
-    """By a view as soon as it is heard of, for good."""
+    """The gateway counts its part of a view as soon as it knows the view, without a lease and for good."""
     ClusterMember.counts = lambda self, now: (
         self.agreement.number,
         SAFE / len(self.places) + (self.agreement.view.part(self.me) if self.agreement.view else 0),
@@ -83,13 +96,18 @@
         options.add_argument(name, type=int)
     options.add_argument("--leashed", action="store_true")
     options.add_argument("--record", type=Path)
-    told = options.parse_args()
+    arguments = options.parse_args()
     set_up("json")
-    made = load(told.settings)
-    facts = globals()[told.fault](facts_of(made, told.number, told.count))
+    settings = load(arguments.settings)
+    facts = globals()[arguments.fault](facts_of(settings, arguments.number, arguments.count))
 
     async def serve():
-        edge = Edge(made, facts, told.seed, allotment_observer=allotment_recorder(told.record) if told.record else None)
+        edge = Edge(
+            settings,
+            facts,
+            arguments.seed,
+            allotment_observer=allotment_recorder(arguments.record) if arguments.record else None,
+        )
         leash(edge.stopping.set)
         await edge.serve(lambda port: print(json.dumps({"port": port}), flush=True))
 
