--- a/tansykeel/edge/stores.py
+++ b/tansykeel/edge/stores.py
@@ -174,7 +174,7 @@
         if not isinstance(outcome, OutcomeOf) or attempt is None:
             return  # an outcome after its attempt ended, or an error frame before the connection's end
         if outcome.body > attempt.held.request.size:
-            link.abort(f"a body of {outcome.body} bytes for a task of {attempt.held.request.size} bytes")
+            link.abort(f"{outcome.body} bytes in the answer to a task of size {attempt.held.request.size}")
         elif outcome.body:
             connection.partial_answers[event.stream] = outcome, []
         else:
