--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -203,7 +203,7 @@
             client = await stage.client()
             tasks = [client.ask(size=1) for _ in range(10)]
             await until(lambda: len(held) == 10)
-            stage.listed(stage.row(stage.stores[0], "draining"))
+            stage.update_list(stage.row(stage.stores[0], "draining"))
             more = [client.ask(size=1) for _ in range(10)]
             for task in more:
                 assert (await client.answer(task)).result == NACKED
@@ -221,7 +221,7 @@
         await new.start()
         async with staged(old) as stage:
             client = await stage.client()
-            stage.listed(stage.row(old, "gone"), stage.row(new))
+            stage.update_list(stage.row(old, "gone"), stage.row(new))
             assert (await client.answer(client.ask())).result == DELIVERED
             assert not old.received and len(new.received) == 1
         await new.stop()
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -189,7 +189,7 @@
         """Connect a client."""
         return await Client(self).start()
 
-    def listed(self, *rows, full=False):
+    def update_list(self, *rows, full=False):
         """Give the gateway's core a list update, as the connection to the list service would."""
         self.version += 1
         self.edge.core.apply_list_update(clock(), ListOf(full, self.version, rows))
