--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -14,8 +14,8 @@
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.messages import CODEC
 from tansykeel.edge.core import Core
-from tansykeel.edge.native import Native, answer_of, bounds_of, hand_off_of, known_of
-from tansykeel.edge.tasks import Attempt, Final, Held
+from tansykeel.edge.native import NativeProtocol, answer_frame, bounds_of, configured_stores, hand_off_frame
+from tansykeel.edge.tasks import Attempt, FinalAnswer, HeldTask
 from tansykeel.emulator.scene import Scene
 from tansykeel.emulator.ways import Conn, GatewayEnd, Line, StoreEnd
 from tansykeel.interface import How, Word
@@ -49,7 +49,7 @@
         self.asked = False
         scene = self.scene
         facts = scene.facts[self.index]
-        self.native = Native(scene.settings, facts)
+        self.native = NativeProtocol(scene.settings, facts)
         self.fellow = ClusterMemberHost(self) if scene.settings.peers and scene.settings.peers.agree else None
         self.core = Core(
             facts,
@@ -58,12 +58,12 @@
             self.clock(),
             bounds_of(scene.settings.gateway),
             self.native,
-            known_of(scene.settings),
+            configured_stores(scene.settings),
             scene.decide,
             self.fellow.cluster_member.allotments if self.fellow else None,
         )
         if self.asked or scene.day.fleet.list_mode == "push":
-            self.ask_list()
+            self.request_store_list()
 
     def end(self) -> None:
         """Told to end: it takes no more, says so to the other gateways, answers what it holds and is gone."""
@@ -117,37 +117,37 @@
             call(*arguments)
 
     def task(self, client: str, id: int, request: TaskOf, body: bool) -> None:
-        self.core.taken(self.clock(), client, id, request)
+        self.core.receive_task(self.clock(), client, id, request)
         if body and request.body:
-            self.core.piece(self.clock(), client, id, self.scene.blank(request.body))
+            self.core.receive_body(self.clock(), client, id, self.scene.blank(request.body))
 
     def cancelled(self, client: str, id: int) -> None:
-        self.core.left(self.clock(), client, id)
+        self.core.cancel_task(self.clock(), client, id)
 
     def client_gone(self, client: str) -> None:
-        self.core.client_gone(self.clock(), client)
+        self.core.client_disconnected(self.clock(), client)
 
     def listed(self, update: ListOf) -> None:
-        self.core.listed(self.clock(), update)
+        self.core.apply_list_update(self.clock(), update)
 
     def list_lost(self) -> None:
-        self.core.list_lost(self.clock())
+        self.core.list_unavailable(self.clock())
 
     def word(self, sender: Member, word: ClusterMessage) -> None:
         if self.fellow:
             self.fellow.heard(sender, word)
 
     def share(self, share: Share) -> None:
-        if word := self.native.word_of(share):
-            self.core.heard(self.clock(), share.sender, word)
+        if word := self.native.word_from_share(share):
+            self.core.receive_peer_message(self.clock(), share.sender, word)
 
-    # Wire: what the core wants done
+    # GatewayIO: what the core wants done
 
-    def answer(self, held: Held, final: Final, body: list[bytes], sent: Callable[[], None]) -> None:
+    def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
         sent()
-        self.scene.clients.answer_on_its_way(self, held.id, answer_of(final, body))
+        self.scene.clients.answer_on_its_way(self, held.id, answer_frame(final, body))
 
-    def remind(self, at: int) -> None:
+    def set_wakeup(self, at: int) -> None:
         if self.reminder and at >= self.reminder:
             return
         self.reminder = at
@@ -160,23 +160,23 @@
                 self.backlog.append((self._late, (ticket,)))
                 return
             self.reminder = 0
-            self.core.tick(self.clock())
+            self.core.run_timers(self.clock())
 
     def _late(self, ticket: int) -> None:
         """A reminder that fell into a stall: carried out after all that came in was read."""
         self.engine.after(1_000, self._tick, self.life, ticket)
 
-    def ask_list(self) -> None:
+    def request_store_list(self) -> None:
         self.asked = True
         self.engine.after(self.scene.ways.to_list(), self.scene.list.ask, self, self.life)
 
-    def tell_peer(self, peer: int | None, word: Word) -> None:
-        share = self.native.share_of(word)
+    def send_to_peer(self, peer: int | None, word: Word) -> None:
+        share = self.native.share_from_word(word)
         for other in self.fleet if peer is None else [self.fleet[peer]]:
             if other.alive and other is not self:
                 self.engine.after(self.scene.ways.client(), other.tell, other.life, other.share, share)
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         self.scene.notes.append(f"{self.name} {event} {fields}")
 
     def hand_off(self, attempt: Attempt) -> None:
@@ -210,7 +210,7 @@
 
     def _send(self, conn: Conn, attempt: Attempt) -> None:
         attempt.connection = conn
-        request = hand_off_of(attempt, self.clock())
+        request = hand_off_frame(attempt, self.clock())
         work = conn.works[attempt] = Work((conn, attempt), self.name, request)
         way = self.scene.ways.to_store(self, conn.store) + self.scene.ways.wire_time(request.body)
         self.engine.at(conn.there.arrival(self.engine.now + way), conn.store.arrive, conn, work)
@@ -222,11 +222,11 @@
             return
         conn.up = True
         unsent, conn.waiting = list(conn.waiting), deque()
-        anew = self.core.met(self.clock(), conn.known, hello.boot, hello.age)
+        anew = self.core.store_connected(self.clock(), conn.known, hello.boot, hello.age)
         for attempt in unsent:
             if anew:  # granted without knowing of the start: as the program does, it is decided anew
                 self._outcome(attempt, How.MOOT)
-            elif not attempt.over:
+            elif not attempt.finished:
                 self._send(conn, attempt)
 
     def not_reached(self, conn: Conn) -> None:
@@ -253,10 +253,10 @@
     ) -> None:
         if not conn.lost:
             conn.works.pop(attempt, None)
-            self.core.outcome(self.clock(), attempt, how, shard=shard, report=report, elsewhere=elsewhere)
+            self.core.record_outcome(self.clock(), attempt, how, shard=shard, report=report, elsewhere=elsewhere)
 
     def _outcome(self, attempt: Attempt, how: How) -> None:
-        self.core.outcome(self.clock(), attempt, how)
+        self.core.record_outcome(self.clock(), attempt, how)
 
 
 class ClusterMemberHost:
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -14,9 +14,9 @@
 from socket import socket
 from typing import Any
 
-from tansykeel.edge.clock import TENTHS_PER_SECOND, Reminder, clock
+from tansykeel.edge.clock import TICKS_PER_SECOND, WakeupTimer, clock
 from tansykeel.edge.core import Core
-from tansykeel.edge.tasks import DELIVERED, NACKED, Attempt, Bounds, Final, Held
+from tansykeel.edge.tasks import DELIVERED, NACKED, Attempt, Bounds, FinalAnswer, HeldTask
 from tansykeel.http1 import codec
 from tansykeel.http1.codec import Malformed, Request
 from tansykeel.interface import Word
@@ -52,7 +52,7 @@
 
 
 class Gateway:
-    """The core's wire, and what clients' requests come to."""
+    """The core's I/O, and what clients' requests come to."""
 
     def __init__(self, path: str, config: Config) -> None:
         self.path, self.config = path, config
@@ -62,7 +62,7 @@
         self.counts = EventCounts(log if os.environ.get(TRACE_VARIABLE) == "1" else None)
         self.stalls = StallDetector(LOOK, loop.time())
         self.checks = PeriodicChecks(self, log)
-        self.reminder = Reminder(self._tick)
+        self.reminder = WakeupTimer(self._tick)
         self.stopping = asyncio.Event()
         self.told_to_stop = 0.0  # when SIGTERM came
         self.closing = False  # each answer is its connection's last
@@ -245,7 +245,7 @@
         client.open = wanted.id
         self.open[wanted.id] = client
         try:
-            self.core.taken(clock(), client, wanted.id, wanted)
+            self.core.receive_task(clock(), client, wanted.id, wanted)
         except Exception as error:
             self.failed("a request was not taken", error)
             self._answer_failed(client, wanted)
@@ -253,21 +253,21 @@
     def client_left(self, client: Client) -> None:
         assert client.open is not None
         del self.open[client.open]
-        self.core.left(clock(), client, client.open)
+        self.core.cancel_task(clock(), client, client.open)
 
     def _answer_failed(self, client: Client, wanted: Wanted) -> None:
         """Guards against a fault of our own that would leave a request without its answer."""
         if client.open != wanted.id:
             return
         self.violations.report(Invariant.ANSWER_BEFORE_CLOSE, id=wanted.id)
-        self.core.left(clock(), client, wanted.id)
+        self.core.cancel_task(clock(), client, wanted.id)
         self.open.pop(wanted.id, None)
         last = self._ends_with_answer(client, wanted.request)
         client.answer(codec.answer(500, last=last), last)
 
-    # Wire: what the core wants done
+    # GatewayIO: what the core wants done
 
-    def answer(self, held: Held, final: Final, body: list[bytes], sent: Callable[[], None]) -> None:
+    def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
         client: Client = held.client
         sent()
         if self.open.pop(held.id, None) is None:
@@ -310,17 +310,17 @@
     def withdraw(self, attempt: Attempt) -> None:
         self.stores.withdraw(attempt)
 
-    def remind(self, at: int) -> None:
+    def set_wakeup(self, at: int) -> None:
         self.reminder.set(at)
 
-    def ask_list(self) -> None:
+    def request_store_list(self) -> None:
         if self._discovery:  # not yet there while the core is made
             self._discovery.ask()
 
-    def tell_peer(self, peer: int | None, word: Word) -> None:
+    def send_to_peer(self, peer: int | None, word: Word) -> None:
         pass  # the platform has no way between gateways that its settings allow
 
-    def note(self, event: str, **fields: Any) -> None:
+    def log_event(self, event: str, **fields: Any) -> None:
         log(event, **fields)
 
     # Within
@@ -339,9 +339,9 @@
         now = self.loop.time()
         if not self.stalls.longest_unread(now):
             age = min(seconds_since_data(stream.sock) or 0.0, MOST_READ_FOR) if late else 0.0
-            return clock() - int(age * TENTHS_PER_SECOND)
+            return clock() - int(age * TICKS_PER_SECOND)
         age = self.stalls.age_of_bytes(now, seconds_since_data(stream.sock))
-        return clock() - int(age * TENTHS_PER_SECOND)
+        return clock() - int(age * TICKS_PER_SECOND)
 
     def _list_caught_up(self) -> bool:
         """Whether all that discovery has said was read; looked at only where the loop has stood still."""
@@ -352,7 +352,7 @@
     def _tick(self, now: int) -> None:
         """A time has come that the core asked for. Guards against a failure at one that loses those after it."""
         try:
-            self.core.tick(now)
+            self.core.run_timers(now)
         except Exception as error:
             self.failed("a reminder failed", error)
             self.core.runner.settle()
--- a/tansykeel/platform/request_rules.py
+++ b/tansykeel/platform/request_rules.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from tansykeel.edge.tasks import Attempt, Held
+from tansykeel.edge.tasks import Attempt, HeldTask
 from tansykeel.interface import Allowed, Repeat, State
 
 OVERDUE = 1_000  # tenths after a task's deadline (which is up to 0.1 s before its client's) at which it must be over
@@ -39,7 +39,7 @@
 
 def attempt_may_begin(attempt: Attempt, *, client_caught_up: bool, list_caught_up: bool) -> Verdict:
     """Whether an attempt may be written now. `..._caught_up`: whether all that came from there was read."""
-    if attempt.over or attempt.held.answered:
+    if attempt.finished or attempt.held.answered:
         return Verdict.NEVER
     if not (client_caught_up and list_caught_up):
         return Verdict.LATER
@@ -54,14 +54,14 @@
     if attempt.store.state is not State.READY:
         return Invariant.READY_STORE
     copies_allowed = allowed.copies and task.category.repeat is Repeat.HARMLESS
-    if len(held.out) > 1 and not copies_allowed:
+    if len(held.open_attempts) > 1 and not copies_allowed:
         return Invariant.ONE_ATTEMPT
     if task.may_have_run and task.category.repeat is Repeat.ONE_SHOT:
         return Invariant.NO_REPEAT
     return None
 
 
-def is_overdue(held: Held, now: int) -> bool:
+def is_overdue(held: HeldTask, now: int) -> bool:
     """Whether a task should have had its answer by now."""
     return not held.answered and now > held.task.deadline + OVERDUE
 
--- a/tests/edge/test_cluster_agent.py
+++ b/tests/edge/test_cluster_agent.py
@@ -8,9 +8,9 @@
 from fractions import Fraction
 
 import pytest
-from stage import FakeStore, deliver, free_address, play, settings_with
+from stage import FakeStore, deliver, free_address, run_test, settings_with
 
-from tansykeel.edge.ask import NotTold, ask
+from tansykeel.edge.ask import NotTold, query_fleet
 from tansykeel.edge.program import Edge
 from tansykeel.settings.build import facts_of
 from tansykeel.transport.sockets import listening
@@ -34,7 +34,7 @@
             facts_of(self.settings, number, len(self.addresses)),
             1,
             sample=10**9,
-            counted=lambda *change: self.part_changes.append(change),
+            allotment_observer=lambda *change: self.part_changes.append(change),
         )
         self.edges[number] = edge
         self.serving[number] = asyncio.create_task(edge.serve(port.set_result))
@@ -98,7 +98,7 @@
             await gateways.until(has_leased_view_of(5))
             assert gateways.edges[4].cluster_agent.view.number == first + 2
 
-    play(scenario(), 40)
+    run_test(scenario(), 40)
 
 
 def test_a_status_request_returns_the_gateways_view_of_the_cluster():
@@ -111,14 +111,14 @@
                     cluster_agent.cluster_member.failure_detector.others["edge-4"].state.name == "DEAD"
                 )
             )
-            status = await ask(gateways.addresses[0], 5)
+            status = await query_fleet(gateways.addresses[0], 5)
             assert (status.name, status.number, status.leased, status.part) == ("edge-0", 0, 0, float(SAFE_SHARE))
             others = {other.name: (other.seems, other.link) for other in status.others}
             assert others["edge-1"] == ("alive", "up") and others["edge-4"][1] != "up"
             for number in (3, 4):
                 await gateways.start(number)
             await gateways.until(has_leased_view_of(5))
-            status = await ask(gateways.addresses[3], 5)
+            status = await query_fleet(gateways.addresses[3], 5)
             assert status.leased and status.active and status.part == float(EVEN_SHARE) and len(status.members) == 5
             assert (
                 sorted(status.voters)
@@ -126,7 +126,7 @@
                 == gateways.edges[0].cluster_agent.names
             )
 
-    play(scenario(), 40)
+    run_test(scenario(), 40)
 
 
 def test_a_gateway_without_agreement_answers_a_status_request_with_an_error():
@@ -134,13 +134,13 @@
         async with fleet(agree="agree = False") as gateways:
             await gateways.start(0)
             with pytest.raises(NotTold, match=r"peers\(agree = True\)"):
-                await ask(gateways.addresses[0], 5)
+                await query_fleet(gateways.addresses[0], 5)
             with pytest.raises(NotTold):
-                await ask(gateways.addresses[1], 5)
+                await query_fleet(gateways.addresses[1], 5)
             with pytest.raises(NotTold, match="host:port"):
-                await ask("nowhere", 5)
+                await query_fleet("nowhere", 5)
 
-    play(scenario(), 20)
+    run_test(scenario(), 20)
 
 
 def test_a_gateway_that_accepts_connections_and_never_answers_delays_no_other():
@@ -170,7 +170,7 @@
             await gateways.start(4)
             await gateways.until(has_leased_view_of(5))
 
-    play(scenario(), 40)
+    run_test(scenario(), 40)
 
 
 def test_the_status_command_prints_a_table_or_json(monkeypatch):
@@ -196,7 +196,7 @@
     async def answer(address, seconds):
         return status
 
-    monkeypatch.setattr(ask_module, "ask", answer)
+    monkeypatch.setattr(ask_module, "query_fleet", answer)
     result = CliRunner().invoke(app, ["fleet", "status", "h:1"])
     assert result.exit_code == 0 and "view 3" in result.output and "suspect" in result.output
     parsed = json.loads(CliRunner().invoke(app, ["fleet", "status", "h:1", "--json"]).output)
--- a/tests/edge/test_control_session.py
+++ b/tests/edge/test_control_session.py
@@ -8,7 +8,7 @@
 import pytest
 import structlog
 from control_node_script import HEARTBEAT_MS, LEASE_MS, UNITS, ScriptedNode, control_settings, settings_of
-from stage import FakeStore, deliver, free_address, play, until
+from stage import FakeStore, deliver, free_address, run_test, until
 from structlog.testing import capture_logs
 
 from tansykeel.audit.records import LeaseClaimed, read
@@ -92,7 +92,7 @@
             assert {claim[1:3] for claim in setup.claims} == {("edge-3", 77)} and not setup.without_lease()
             assert setup.claims[-1][3].units == UNITS
 
-    play(scenario())
+    run_test(scenario())
 
 
 async def stop_answering(node):
@@ -125,7 +125,7 @@
             assert not setup.without_lease() and [log["event"] for log in logs][:3] == events
             assert len(setup.ended_traffic) == 1 and setup.ended_traffic[0].bytes_sent > 100
 
-    play(scenario())
+    run_test(scenario())
 
 
 def test_a_rejected_session_is_opened_again_after_the_time_that_the_node_gave():
@@ -143,7 +143,7 @@
             rejected = [log for log in logs if log["event"] == "session rejected"]
             assert rejected[0]["reason"] == "too many new sessions" and rejected[0]["retry_after_ms"] == 50
 
-    play(scenario())
+    run_test(scenario())
 
 
 def test_a_node_of_another_cluster_is_logged_as_an_error_with_advice_and_not_used():
@@ -158,7 +158,7 @@
             assert len(errors) == 1 and "theirs" in errors[0]["what"] and "control(...)" in errors[0]["do"]
             assert not setup.leased_by(setup.first)
 
-    play(scenario())
+    run_test(scenario())
 
 
 def test_an_address_where_no_control_node_listens_is_logged_and_the_next_node_is_asked():
@@ -173,7 +173,7 @@
             assert "role 'store'" in lost[0]["reason"] and lost[0]["node"] == setup.first.name
             assert not setup.leased_by(setup.first)
 
-    play(scenario())
+    run_test(scenario())
 
 
 def test_a_closed_session_uses_no_lease_before_its_node_hears_of_it_and_sends_nothing_more():
@@ -191,7 +191,7 @@
             await asyncio.sleep(3 * HEARTBEAT_MS / 1_000)
             assert len(setup.first.received) == received and not setup.second.received
 
-    play(scenario())
+    run_test(scenario())
 
 
 def test_an_aborted_session_sends_no_session_close():
@@ -204,7 +204,7 @@
             await until(lambda: not setup.first.links)
             assert not setup.first.of(SessionClose) and setup.session.ended
 
-    play(scenario())
+    run_test(scenario())
 
 
 def test_each_change_of_the_lease_in_use_is_recorded(tmp_path):
@@ -216,7 +216,7 @@
             await until(lambda: setup.leased_by(setup.first))
             setup.session.close()
 
-    play(scenario())
+    run_test(scenario())
     claims = list(read(tmp_path / "claims"))
     assert all(isinstance(claim, LeaseClaimed) and claim.incarnation == 77 for claim in claims)
     assert not claims[0].node and claims[1].units == UNITS and claims[-1].until == 0
@@ -232,7 +232,7 @@
         )
         settings = settings_of(text)
         port, claims = asyncio.get_running_loop().create_future(), []
-        edge = Edge(settings, facts_of(settings, 1, 2), 1, claimed=lambda *claim: claims.append(claim[3].units))
+        edge = Edge(settings, facts_of(settings, 1, 2), 1, claim_observer=lambda *claim: claims.append(claim[3].units))
         serving = asyncio.create_task(edge.serve(port.set_result))
         await port
         assert edge.core.runner.parts.earned(clock(), clock())[1] == pytest.approx(0.2)
@@ -249,4 +249,4 @@
             await node.stop()
         await store.stop()
 
-    play(scenario())
+    run_test(scenario())
--- a/tests/edge/test_hollow.py
+++ b/tests/edge/test_hollow.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 from control_node_script import UNITS, ScriptedNode, control_settings
-from stage import free_address, play, until
+from stage import free_address, run_test, until
 
 from tansykeel.audit.records import read
 from tansykeel.control.actions import WHOLE_UNITS, CountedLease
@@ -109,7 +109,7 @@
             await process.end()
             await until(lambda: set(closed_sessions(nodes)) == NAMES)
 
-    play(scenario())
+    run_test(scenario())
     report = msgspec.json.decode((tmp_path / "report.json").read_bytes(), type=FullReport)
     totals = report.totals
     assert totals.sessions == totals.leased == totals.running == GATEWAYS
@@ -149,7 +149,7 @@
             await process.ask(do="close", first=0, count=1)
             await until(lambda: closed_sessions(nodes) == ["edge-0"])
 
-    play(scenario())
+    run_test(scenario())
     half = msgspec.json.decode((tmp_path / "half.json").read_bytes(), type=FullReport)
     assert [gateway.number for gateway in half.gateways if not gateway.running] == list(range(4, 14))
     assert all(gateway.bytes_sent > 100 for gateway in half.gateways), "the traffic of ended connections still counts"
@@ -190,7 +190,7 @@
             for one in (*nodes, edge):
                 await end_process(one)
 
-    play(scenario())
+    run_test(scenario())
     claims = [*read(tmp_path / "claims"), *read(tmp_path / "edge-claims")]
     assert {claim.gateway for claim in claims if claim.units} == NAMES | {f"edge-{GATEWAYS}"}
     assert {claim.node for claim in claims} == {"n0", "n1", "n2", ""}
@@ -213,7 +213,7 @@
             assert answer["event"] == "failed" and what in answer["what"] and answer["do"]
             assert (await process.ask(do="report"))["running"] == GATEWAYS
 
-    play(scenario())
+    run_test(scenario())
 
 
 def test_the_process_ends_with_its_standard_input_and_after_the_given_time(tmp_path):
@@ -226,7 +226,7 @@
             assert await process.process.wait() == 0
             await until(lambda: set(closed_sessions(nodes)) == NAMES)
 
-    play(scenario())
+    run_test(scenario())
 
 
 @pytest.mark.parametrize(
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 
 import pytest
-from stage import Client, FakeStore, deliver, free_address, play, settings_with
+from stage import Client, FakeStore, deliver, free_address, run_test, settings_with
 
 from tansykeel.edge.program import Edge
 from tansykeel.settings.build import facts_of
@@ -66,7 +66,7 @@
                 assert (await first.answer(first.ask(size=200 * UNIT_BYTES, volume="w"))).result == DELIVERED
             assert units_left(edges[0]) + units_left(edges[1]) == pytest.approx(600 - 401, abs=1)
 
-    play(scenario())
+    run_test(scenario())
 
 
 def test_all_gateways_together_send_no_more_than_the_limit():
@@ -80,7 +80,7 @@
             assert 300 < sent <= 600
             assert sum(map(units_left, edges)) == pytest.approx(600 - sent, abs=1)
 
-    play(scenario())
+    run_test(scenario())
 
 
 def test_without_peers_each_gateway_uses_only_its_own_share():
@@ -90,7 +90,7 @@
             assert (await second.answer(second.ask(size=UNIT_BYTES, volume="w"))).result == NACKED
             assert edges[0].peers is None
 
-    play(scenario())
+    run_test(scenario())
 
 
 def test_a_gateway_whose_peer_is_down_starts_with_an_empty_limit_and_answers_without_waiting():
@@ -100,4 +100,4 @@
             assert (await only.answer(only.ask(size=250 * UNIT_BYTES, volume="w", patience=4.0))).result == NACKED
             assert asyncio.get_running_loop().time() - started < 2.0  # half of the patience of the request
 
-    play(scenario())
+    run_test(scenario())
