--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -14,7 +14,7 @@
     How,
     Nack,
     Outcome,
-    Repeat,
+    RepeatSafety,
     Scope,
     Signal,
     State,
@@ -180,7 +180,7 @@
 
     def time_out(self, task: Task, node: Node, aim: int) -> int:
         """After what time a harmless task goes again, if answers are lost and it can be in time, else 0."""
-        now, may, sure = self.desk.now, self.facts.allowed, task.category.repeat is Repeat.HARMLESS
+        now, may, sure = self.desk.now, self.facts.allowed, task.category.repeat is RepeatSafety.HARMLESS
         if task.hand_offs != 1 or not (sure and (may.cancel or may.copies)) or now >= self.waits.lost:
             return 0
         patience = max(PATIENCE * (lag := int(node.lag(task.units))), self.tightest // 2)
@@ -271,11 +271,11 @@
         """Whether a (further) hand-off is legal now, wherever it goes."""
         may = task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline
         may = may and (not task.hand_offs or not self.extras or self.extras.room(self.desk.now))
-        return may and not (task.may_have_run and task.category.repeat is Repeat.ONE_SHOT)
+        return may and not (task.may_have_run and task.category.repeat is RepeatSafety.ONE_SHOT)
 
     def in_group(self, task: Task, store: Store) -> bool:
         """Whether a stamped task that may have run may go to this store: same group, within its memory."""
-        if not task.may_have_run or task.category.repeat is Repeat.HARMLESS:
+        if not task.may_have_run or task.category.repeat is RepeatSafety.HARMLESS:
             return True
         (first, sent), scope = task.may_have_run[0], task.category.scope
         near = store.zone == first.zone if scope is Scope.ZONE else store.shard == first.shard
@@ -284,7 +284,9 @@
     def final(self, task: Task) -> Want:
         """The answer of a task given up on: a nack wherever its promise holds."""
         allowed, of = self.facts.allowed, task.category
-        sure = of.repeat is Repeat.HARMLESS or (of.repeat is Repeat.STAMPED and of.scope is Scope.ALL)
+        sure = of.repeat is RepeatSafety.HARMLESS or (
+            of.repeat is RepeatSafety.STAMPED and of.scope is Scope.ALL
+        )
         come_back = min(self.tightest, allowed.longest_come_back) if allowed.come_back else 0
         return BreakOff() if task.may_have_run and not sure else Nack(come_back)
 
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -15,7 +15,7 @@
 from tansykeel.emulator.engine import Engine
 from tansykeel.emulator.gateway import Gateway
 from tansykeel.emulator.stores import SimStore
-from tansykeel.interface import Desk, Facts, HandOff, How, Outcome, Repeat, Signal, State, Store, Task, Wait
+from tansykeel.interface import Desk, Facts, HandOff, How, Outcome, RepeatSafety, Signal, State, Store, Task, Wait
 from tansykeel.runner import Run
 from tansykeel.settings.day import Day
 
@@ -178,7 +178,7 @@
                 return
             if not outcome.never_ran:
                 task.may_have_run.append((store, sent))
-                if task.category.repeat is not Repeat.HARMLESS:
+                if task.category.repeat is not RepeatSafety.HARMLESS:
                     break
             if self.extras is not None and not self.extras.room(self.desk.now):
                 break
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 
-class Repeat(Enum):
+class RepeatSafety(Enum):
     HARMLESS = "harmless"
     STAMPED = "stamped"
     ONE_SHOT = "one-shot"
@@ -38,7 +38,7 @@
     deadline: int
     gain: float
     late_gain: float
-    repeat: Repeat
+    repeat: RepeatSafety
     scope: Scope
     window: int
     writes: bool
--- a/tansykeel/platform/request_rules.py
+++ b/tansykeel/platform/request_rules.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from tansykeel.edge.tasks import Attempt, Held
-from tansykeel.interface import Allowed, Repeat, State
+from tansykeel.interface import Allowed, RepeatSafety, State
 
 OVERDUE = 1_000  # tenths after a task's deadline (which is up to 0.1 s before its client's) at which it must be over
 MOST_LOGGED = 20  # violations of one invariant that are logged; all are counted
@@ -53,10 +53,10 @@
         return Invariant.NO_ATTEMPT_AFTER_ANSWER
     if attempt.store.state is not State.READY:
         return Invariant.READY_STORE
-    copies_allowed = allowed.copies and task.category.repeat is Repeat.HARMLESS
+    copies_allowed = allowed.copies and task.category.repeat is RepeatSafety.HARMLESS
     if len(held.out) > 1 and not copies_allowed:
         return Invariant.ONE_ATTEMPT
-    if task.may_have_run and task.category.repeat is Repeat.ONE_SHOT:
+    if task.may_have_run and task.category.repeat is RepeatSafety.ONE_SHOT:
         return Invariant.NO_REPEAT
     return None
 
--- a/tansykeel/settings/build.py
+++ b/tansykeel/settings/build.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tansykeel.interface import Facts, Plan, Repeat, Scope, Sizes
+from tansykeel.interface import Facts, Plan, RepeatSafety, Scope, Sizes
 from tansykeel.settings import facts as make
 from tansykeel.settings import script
 from tansykeel.settings.records import (
@@ -258,7 +258,7 @@
                 deadline=c.cut_off_ms * MS,
                 gain=c.gain,
                 late_gain=c.late_gain,
-                repeat=Repeat(c.repeat),
+                repeat=RepeatSafety(c.repeat),
                 scope=Scope(c.scope),
                 window=c.window_ms * MS,
                 writes=c.writes,
--- a/tansykeel/settings/facts.py
+++ b/tansykeel/settings/facts.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from tansykeel.interface import Allowed, BudgetRule, Category, ColdRule, Listing, Repeat, Scope
+from tansykeel.interface import Allowed, BudgetRule, Category, ColdRule, Listing, RepeatSafety, Scope
 
 TENTH = 100_000  # nanoseconds in a tenth of a millisecond
 
@@ -28,7 +28,7 @@
     deadline: float,
     gain: float,
     late_gain: float,
-    repeat: Repeat,
+    repeat: RepeatSafety,
     scope: Scope,
     window: float,
     writes: bool,
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -8,11 +8,15 @@
 from typing import Any
 
 from tansykeel.errors import Problem
-from tansykeel.interface import Facts, Plan, Repeat, Scope, Sizes
+from tansykeel.interface import Facts, Plan, RepeatSafety, Scope, Sizes
 from tansykeel.settings import facts as make
 from tansykeel.settings.facts import ceil, floor
 
-REPEATS = {"idempotent": Repeat.HARMLESS, "deduplicated": Repeat.STAMPED, "at_most_once": Repeat.ONE_SHOT}
+REPEATS = {
+    "idempotent": RepeatSafety.HARMLESS,
+    "deduplicated": RepeatSafety.STAMPED,
+    "at_most_once": RepeatSafety.ONE_SHOT,
+}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.SHARD}
 
 
--- a/tests/audit/test_rules.py
+++ b/tests/audit/test_rules.py
@@ -35,16 +35,16 @@
     Facts,
     Listing,
     Plan,
-    Repeat,
+    RepeatSafety,
     Scope,
     Sizes,
 )
 from tansykeel.settings.shape import Shape
 
 S = 1_000_000
-READ = Category("read", 3_000, 20_000, 1.0, 0.1, Repeat.HARMLESS, Scope.ALL, 0, False, False, 0.0)
-POST = replace(READ, name="post", repeat=Repeat.ONE_SHOT, ordered=True)
-PAY = replace(READ, name="pay", repeat=Repeat.STAMPED, scope=Scope.SHARD, window=50_000)
+READ = Category("read", 3_000, 20_000, 1.0, 0.1, RepeatSafety.HARMLESS, Scope.ALL, 0, False, False, 0.0)
+POST = replace(READ, name="post", repeat=RepeatSafety.ONE_SHOT, ordered=True)
+PAY = replace(READ, name="pay", repeat=RepeatSafety.STAMPED, scope=Scope.SHARD, window=50_000)
 PLAN = Plan("basic", 10.0, 2.0, 1.0, 1.0, 5.0, 20.0, 1.0)
 SHAPE = Shape(cores=1, unit_ms=10.0, cold_share=0.1, cold_s=10, fall_multiple=2.0, fall_s=1.0)
 LAW = Law(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,7 @@
     Listing,
     Outcome,
     Plan,
-    Repeat,
+    RepeatSafety,
     Scope,
     Signal,
     Sizes,
@@ -28,9 +28,9 @@
     Word,
 )
 
-HARMLESS = Category("read", 2_500, 10_000, 1.0, 0.1, Repeat.HARMLESS, Scope.ALL, 0, False, False, 0.0)
-ONE_SHOT = replace(HARMLESS, repeat=Repeat.ONE_SHOT)
-STAMPED = replace(HARMLESS, repeat=Repeat.STAMPED, scope=Scope.SHARD, window=5_000)
+HARMLESS = Category("read", 2_500, 10_000, 1.0, 0.1, RepeatSafety.HARMLESS, Scope.ALL, 0, False, False, 0.0)
+ONE_SHOT = replace(HARMLESS, repeat=RepeatSafety.ONE_SHOT)
+STAMPED = replace(HARMLESS, repeat=RepeatSafety.STAMPED, scope=Scope.SHARD, window=5_000)
 PLAN = Plan("plain", 10.0, 0.0, 1.0, 1.0, 0.0, 0.0, 0.0)
 
 
