--- a/tansykeel/audit/rules.py
+++ b/tansykeel/audit/rules.py
@@ -78,7 +78,7 @@
     effects: dict[int, int] = defaultdict(int)
     for task, seen in passed.tasks.items():
         category = law.category(seen.sent.category)
-        if category.repeat is RepeatSafety.HARMLESS:
+        if category.repeat is RepeatSafety.IDEMPOTENT:
             continue
         effects[seen.sent.mark] += sum(h.effect for h in seen.hand_offs)
         may_have_run = [h for h in seen.hand_offs if not h.never_ran]
--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -59,7 +59,7 @@
     def serve(self, task: Task) -> Run:
         while task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline:
             store = self.store_for(task)
-            if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.HARMLESS:
+            if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.IDEMPOTENT:
                 break
             task.hand_offs += 1
             sent, outcome = self.desk.now, (yield HandOff(store))
@@ -72,7 +72,7 @@
 
     def final(self, task: Task) -> Want:
         repeat, scope = task.category.repeat, task.category.scope
-        sure = repeat is RepeatSafety.HARMLESS or repeat is RepeatSafety.STAMPED and scope is Scope.ALL
+        sure = repeat is RepeatSafety.IDEMPOTENT or repeat is RepeatSafety.STAMPED and scope is Scope.ALL
         return BreakOff() if task.may_have_run and not sure else Nack(0)
 
 
@@ -105,7 +105,7 @@
     def serve(self, task: Task) -> Run:
         while task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline:
             store = self.store_for(task)
-            if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.HARMLESS:
+            if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.IDEMPOTENT:
                 break
             if not (yield from self.room(store, task)):
                 break
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -180,7 +180,7 @@
 
     def time_out(self, task: Task, node: Node, aim: int) -> int:
         """After what time a harmless task goes again, if answers are lost and it can be in time, else 0."""
-        now, may, sure = self.desk.now, self.facts.allowed, task.category.repeat is RepeatSafety.HARMLESS
+        now, may, sure = self.desk.now, self.facts.allowed, task.category.repeat is RepeatSafety.IDEMPOTENT
         if task.hand_offs != 1 or not (sure and (may.cancel or may.copies)) or now >= self.waits.lost:
             return 0
         patience = max(PATIENCE * (lag := int(node.lag(task.units))), self.tightest // 2)
@@ -275,7 +275,7 @@
 
     def in_group(self, task: Task, store: Store) -> bool:
         """Whether a stamped task that may have run may go to this store: same group, within its memory."""
-        if not task.may_have_run or task.category.repeat is RepeatSafety.HARMLESS:
+        if not task.may_have_run or task.category.repeat is RepeatSafety.IDEMPOTENT:
             return True
         (first, sent), scope = task.may_have_run[0], task.category.scope
         near = store.zone == first.zone if scope is Scope.ZONE else store.shard == first.shard
@@ -284,7 +284,7 @@
     def final(self, task: Task) -> Want:
         """The answer of a task given up on: a nack wherever its promise holds."""
         allowed, of = self.facts.allowed, task.category
-        sure = of.repeat is RepeatSafety.HARMLESS or (
+        sure = of.repeat is RepeatSafety.IDEMPOTENT or (
             of.repeat is RepeatSafety.STAMPED and of.scope is Scope.ALL
         )
         come_back = min(self.tightest, allowed.longest_come_back) if allowed.come_back else 0
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -178,7 +178,7 @@
                 return
             if not outcome.never_ran:
                 task.may_have_run.append((store, sent))
-                if task.category.repeat is not RepeatSafety.HARMLESS:
+                if task.category.repeat is not RepeatSafety.IDEMPOTENT:
                     break
             if self.extras is not None and not self.extras.room(self.desk.now):
                 break
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -12,7 +12,7 @@
 
 
 class RepeatSafety(Enum):
-    HARMLESS = "harmless"
+    IDEMPOTENT = "harmless"
     STAMPED = "stamped"
     ONE_SHOT = "one-shot"
 
--- a/tansykeel/platform/request_rules.py
+++ b/tansykeel/platform/request_rules.py
@@ -53,7 +53,7 @@
         return Invariant.NO_ATTEMPT_AFTER_ANSWER
     if attempt.store.state is not State.READY:
         return Invariant.READY_STORE
-    copies_allowed = allowed.copies and task.category.repeat is RepeatSafety.HARMLESS
+    copies_allowed = allowed.copies and task.category.repeat is RepeatSafety.IDEMPOTENT
     if len(held.out) > 1 and not copies_allowed:
         return Invariant.ONE_ATTEMPT
     if task.may_have_run and task.category.repeat is RepeatSafety.ONE_SHOT:
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -13,7 +13,7 @@
 from tansykeel.settings.facts import ceil, floor
 
 REPEATS = {
-    "idempotent": RepeatSafety.HARMLESS,
+    "idempotent": RepeatSafety.IDEMPOTENT,
     "deduplicated": RepeatSafety.STAMPED,
     "at_most_once": RepeatSafety.ONE_SHOT,
 }
--- a/tests/brain/test_rates.py
+++ b/tests/brain/test_rates.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import HARMLESS, ONE_SHOT, PLAN, heard, outcome, scheduler, store, task
+from helpers import IDEMPOTENT, ONE_SHOT, PLAN, heard, outcome, scheduler, store, task
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -85,10 +85,10 @@
 @pytest.mark.parametrize(
     "category, lost, hand_offs, soon",
     [
-        (HARMLESS, True, 1, True),
-        (HARMLESS, False, 1, False),
+        (IDEMPOTENT, True, 1, True),
+        (IDEMPOTENT, False, 1, False),
         (ONE_SHOT, True, 1, False),
-        (HARMLESS, True, 2, False),
+        (IDEMPOTENT, True, 2, False),
     ],
 )
 def test_only_a_harmless_task_is_handed_off_again_early_and_only_while_answers_are_lost(
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import HARMLESS, ONE_SHOT, STAMPED, facts, heard, outcome, scheduler, store, task, turn
+from helpers import IDEMPOTENT, ONE_SHOT, STAMPED, facts, heard, outcome, scheduler, store, task, turn
 
 from tansykeel.brain import Scheduler
 from tansykeel.interface import (
@@ -43,7 +43,7 @@
         (How.CANCELLED, BreakOff, ONE_SHOT),
         (How.FULL, Wait, ONE_SHOT),
         (How.NO_CONNECTION, Wait, ONE_SHOT),
-        (How.ERROR, Wait, HARMLESS),
+        (How.ERROR, Wait, IDEMPOTENT),
     ],
 )
 def test_after_an_outcome_only_what_is_legal_follows(how, kind, category):
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize(
     "category, ran, answer",
     [
-        (HARMLESS, True, Nack),
+        (IDEMPOTENT, True, Nack),
         (ONE_SHOT, True, BreakOff),
         (ONE_SHOT, False, Nack),
         (STAMPED, True, BreakOff),
@@ -149,7 +149,7 @@
 
 
 def test_tasks_on_one_key_go_one_at_a_time_and_the_key_rests():
-    ordered = replace(HARMLESS, ordered=True)
+    ordered = replace(IDEMPOTENT, ordered=True)
     brain, desk = scheduler([store()], key_rest=700)
     desk.now += 700
     first, second = task(desk, category=ordered, key=9), task(desk, category=ordered, key=9)
@@ -246,7 +246,7 @@
 
 
 def test_no_key_is_used_until_those_of_an_earlier_life_have_rested():
-    ordered = replace(HARMLESS, ordered=True)
+    ordered = replace(IDEMPOTENT, ordered=True)
     brain, desk = scheduler([store()], key_rest=700)
     run = brain.serve(task(desk, category=ordered, key=9))
     assert next(run).until == desk.now + 700
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -28,9 +28,9 @@
     Word,
 )
 
-HARMLESS = Category("read", 2_500, 10_000, 1.0, 0.1, RepeatSafety.HARMLESS, Scope.ALL, 0, False, False, 0.0)
-ONE_SHOT = replace(HARMLESS, repeat=RepeatSafety.ONE_SHOT)
-STAMPED = replace(HARMLESS, repeat=RepeatSafety.STAMPED, scope=Scope.SHARD, window=5_000)
+IDEMPOTENT = Category("read", 2_500, 10_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, Scope.ALL, 0, False, False, 0.0)
+ONE_SHOT = replace(IDEMPOTENT, repeat=RepeatSafety.ONE_SHOT)
+STAMPED = replace(IDEMPOTENT, repeat=RepeatSafety.STAMPED, scope=Scope.SHARD, window=5_000)
 PLAN = Plan("plain", 10.0, 0.0, 1.0, 1.0, 0.0, 0.0, 0.0)
 
 
@@ -66,7 +66,7 @@
         gateways=2,
         me=0,
         zone=0,
-        categories=(HARMLESS,),
+        categories=(IDEMPOTENT,),
         plans=(PLAN,),
         sizes=Sizes(8.0, 2.0),
         allowed=Allowed(3, False, 0, False, True, False),
@@ -98,7 +98,7 @@
     desk: Desk,
     shard: int | None = 0,
     units: float = 2.0,
-    category: Category = HARMLESS,
+    category: Category = IDEMPOTENT,
     key: int = 0,
     volume: Volume | None = None,
 ) -> Task:
