--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -72,7 +72,7 @@
 
     def final(self, task: Task) -> Want:
         repeat, scope = task.category.repeat, task.category.scope
-        sure = repeat is RepeatSafety.IDEMPOTENT or repeat is RepeatSafety.STAMPED and scope is Scope.ALL
+        sure = repeat is RepeatSafety.IDEMPOTENT or repeat is RepeatSafety.DEDUPLICATED and scope is Scope.ALL
         return BreakOff() if task.may_have_run and not sure else Nack(0)
 
 
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -285,7 +285,7 @@
         """The answer of a task given up on: a nack wherever its promise holds."""
         allowed, of = self.facts.allowed, task.category
         sure = of.repeat is RepeatSafety.IDEMPOTENT or (
-            of.repeat is RepeatSafety.STAMPED and of.scope is Scope.ALL
+            of.repeat is RepeatSafety.DEDUPLICATED and of.scope is Scope.ALL
         )
         come_back = min(self.tightest, allowed.longest_come_back) if allowed.come_back else 0
         return BreakOff() if task.may_have_run and not sure else Nack(come_back)
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -13,7 +13,7 @@
 
 class RepeatSafety(Enum):
     IDEMPOTENT = "harmless"
-    STAMPED = "stamped"
+    DEDUPLICATED = "stamped"
     ONE_SHOT = "one-shot"
 
 
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -14,7 +14,7 @@
 
 REPEATS = {
     "idempotent": RepeatSafety.IDEMPOTENT,
-    "deduplicated": RepeatSafety.STAMPED,
+    "deduplicated": RepeatSafety.DEDUPLICATED,
     "at_most_once": RepeatSafety.ONE_SHOT,
 }
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.SHARD}
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import IDEMPOTENT, ONE_SHOT, STAMPED, facts, heard, outcome, scheduler, store, task, turn
+from helpers import DEDUPLICATED, IDEMPOTENT, ONE_SHOT, facts, heard, outcome, scheduler, store, task, turn
 
 from tansykeel.brain import Scheduler
 from tansykeel.interface import (
@@ -67,7 +67,7 @@
 def test_a_stamped_task_that_may_have_run_stays_in_its_group_and_window(scope, other, later, legal):
     first = store()
     brain, desk = scheduler([first])
-    repeat = task(desk, category=replace(STAMPED, scope=scope))
+    repeat = task(desk, category=replace(DEDUPLICATED, scope=scope))
     repeat.may_have_run.append((first, desk.now))
     desk.now += later
     assert brain.in_group(repeat, store(**other)) is legal
@@ -79,8 +79,8 @@
         (IDEMPOTENT, True, Nack),
         (ONE_SHOT, True, BreakOff),
         (ONE_SHOT, False, Nack),
-        (STAMPED, True, BreakOff),
-        (replace(STAMPED, scope=Scope.ALL), True, Nack),
+        (DEDUPLICATED, True, BreakOff),
+        (replace(DEDUPLICATED, scope=Scope.ALL), True, Nack),
     ],
 )
 def test_a_nack_is_given_only_where_its_promise_holds(category, ran, answer):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -30,7 +30,7 @@
 
 IDEMPOTENT = Category("read", 2_500, 10_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, Scope.ALL, 0, False, False, 0.0)
 ONE_SHOT = replace(IDEMPOTENT, repeat=RepeatSafety.ONE_SHOT)
-STAMPED = replace(IDEMPOTENT, repeat=RepeatSafety.STAMPED, scope=Scope.SHARD, window=5_000)
+DEDUPLICATED = replace(IDEMPOTENT, repeat=RepeatSafety.DEDUPLICATED, scope=Scope.SHARD, window=5_000)
 PLAN = Plan("plain", 10.0, 0.0, 1.0, 1.0, 0.0, 0.0, 0.0)
 
 
