--- a/tansykeel/audit/rules.py
+++ b/tansykeel/audit/rules.py
@@ -82,7 +82,7 @@
             continue
         effects[seen.sent.mark] += sum(h.effect for h in seen.hand_offs)
         may_have_run = [h for h in seen.hand_offs if not h.never_ran]
-        if category.repeat is RepeatSafety.ONE_SHOT:
+        if category.repeat is RepeatSafety.AT_MOST_ONCE:
             for hand_off in seen.hand_offs:
                 if any(other.at < hand_off.at and other.number < hand_off.number for other in may_have_run):
                     yield Break(rule, f"{hand_off.edge} sent a one-shot task again that may have run", task)
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -271,7 +271,7 @@
         """Whether a (further) hand-off is legal now, wherever it goes."""
         may = task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline
         may = may and (not task.hand_offs or not self.extras or self.extras.room(self.desk.now))
-        return may and not (task.may_have_run and task.category.repeat is RepeatSafety.ONE_SHOT)
+        return may and not (task.may_have_run and task.category.repeat is RepeatSafety.AT_MOST_ONCE)
 
     def in_group(self, task: Task, store: Store) -> bool:
         """Whether a stamped task that may have run may go to this store: same group, within its memory."""
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -14,7 +14,7 @@
 class RepeatSafety(Enum):
     IDEMPOTENT = "harmless"
     DEDUPLICATED = "stamped"
-    ONE_SHOT = "one-shot"
+    AT_MOST_ONCE = "one-shot"
 
 
 class Scope(Enum):
--- a/tansykeel/platform/request_rules.py
+++ b/tansykeel/platform/request_rules.py
@@ -56,7 +56,7 @@
     copies_allowed = allowed.copies and task.category.repeat is RepeatSafety.IDEMPOTENT
     if len(held.out) > 1 and not copies_allowed:
         return Invariant.ONE_ATTEMPT
-    if task.may_have_run and task.category.repeat is RepeatSafety.ONE_SHOT:
+    if task.may_have_run and task.category.repeat is RepeatSafety.AT_MOST_ONCE:
         return Invariant.NO_REPEAT
     return None
 
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -15,7 +15,7 @@
 REPEATS = {
     "idempotent": RepeatSafety.IDEMPOTENT,
     "deduplicated": RepeatSafety.DEDUPLICATED,
-    "at_most_once": RepeatSafety.ONE_SHOT,
+    "at_most_once": RepeatSafety.AT_MOST_ONCE,
 }
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.SHARD}
 
--- a/tests/brain/test_rates.py
+++ b/tests/brain/test_rates.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import IDEMPOTENT, ONE_SHOT, PLAN, heard, outcome, scheduler, store, task
+from helpers import AT_MOST_ONCE, IDEMPOTENT, PLAN, heard, outcome, scheduler, store, task
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -87,7 +87,7 @@
     [
         (IDEMPOTENT, True, 1, True),
         (IDEMPOTENT, False, 1, False),
-        (ONE_SHOT, True, 1, False),
+        (AT_MOST_ONCE, True, 1, False),
         (IDEMPOTENT, True, 2, False),
     ],
 )
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import DEDUPLICATED, IDEMPOTENT, ONE_SHOT, facts, heard, outcome, scheduler, store, task, turn
+from helpers import AT_MOST_ONCE, DEDUPLICATED, IDEMPOTENT, facts, heard, outcome, scheduler, store, task, turn
 
 from tansykeel.brain import Scheduler
 from tansykeel.interface import (
@@ -37,12 +37,12 @@
 @pytest.mark.parametrize(
     "how, kind, category",
     [
-        (How.ERROR, BreakOff, ONE_SHOT),
-        (How.TIMED_OUT, BreakOff, ONE_SHOT),
-        (How.RESET, BreakOff, ONE_SHOT),
-        (How.CANCELLED, BreakOff, ONE_SHOT),
-        (How.FULL, Wait, ONE_SHOT),
-        (How.NO_CONNECTION, Wait, ONE_SHOT),
+        (How.ERROR, BreakOff, AT_MOST_ONCE),
+        (How.TIMED_OUT, BreakOff, AT_MOST_ONCE),
+        (How.RESET, BreakOff, AT_MOST_ONCE),
+        (How.CANCELLED, BreakOff, AT_MOST_ONCE),
+        (How.FULL, Wait, AT_MOST_ONCE),
+        (How.NO_CONNECTION, Wait, AT_MOST_ONCE),
         (How.ERROR, Wait, IDEMPOTENT),
     ],
 )
@@ -77,8 +77,8 @@
     "category, ran, answer",
     [
         (IDEMPOTENT, True, Nack),
-        (ONE_SHOT, True, BreakOff),
-        (ONE_SHOT, False, Nack),
+        (AT_MOST_ONCE, True, BreakOff),
+        (AT_MOST_ONCE, False, Nack),
         (DEDUPLICATED, True, BreakOff),
         (replace(DEDUPLICATED, scope=Scope.ALL), True, Nack),
     ],
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -29,7 +29,7 @@
 )
 
 IDEMPOTENT = Category("read", 2_500, 10_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, Scope.ALL, 0, False, False, 0.0)
-ONE_SHOT = replace(IDEMPOTENT, repeat=RepeatSafety.ONE_SHOT)
+AT_MOST_ONCE = replace(IDEMPOTENT, repeat=RepeatSafety.AT_MOST_ONCE)
 DEDUPLICATED = replace(IDEMPOTENT, repeat=RepeatSafety.DEDUPLICATED, scope=Scope.SHARD, window=5_000)
 PLAN = Plan("plain", 10.0, 0.0, 1.0, 1.0, 0.0, 0.0, 0.0)
 
