--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -23,13 +23,13 @@
 from tansykeel.interface import (  # noqa: E402
     Allowed,
     Category,
+    DeduplicationScope,
     Facts,
     How,
     Listing,
     Outcome,
     Plan,
     RepeatSafety,
-    Scope,
     Sizes,
     State,
     Store,
@@ -46,7 +46,9 @@
     """The runner's door: hand-offs come back after LAG, reminders when they are due."""
 
     def __init__(self, nodes: int, volumes: int, reserved: bool) -> None:
-        read = Category("read", 3_000, 20_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, Scope.ALL, 0, False, False, 0.0)
+        read = Category(
+            "read", 3_000, 20_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, DeduplicationScope.ALL, 0, False, False, 0.0
+        )
         plan = Plan("p", 10.0, 2.0 if reserved else 0.0, 1.0, 1.0, 0.0, 0.0, 0.0)
         facts = Facts(
             2,
--- a/tansykeel/audit/rules.py
+++ b/tansykeel/audit/rules.py
@@ -12,7 +12,7 @@
 
 from tansykeel.audit.join import READY, HandOff, Passed, TaskSeen
 from tansykeel.audit.records import Up
-from tansykeel.interface import Category, Facts, Plan, RepeatSafety, Scope
+from tansykeel.interface import Category, DeduplicationScope, Facts, Plan, RepeatSafety
 from tansykeel.settings.shape import Shape, borne
 
 SLACK = 250_000  # microseconds
@@ -86,7 +86,7 @@
             for hand_off in seen.hand_offs:
                 if any(other.at < hand_off.at and other.number < hand_off.number for other in may_have_run):
                     yield Break(rule, f"{hand_off.edge} sent a one-shot task again that may have run", task)
-        sure = category.repeat is RepeatSafety.DEDUPLICATED and category.scope is Scope.ALL
+        sure = category.repeat is RepeatSafety.DEDUPLICATED and category.scope is DeduplicationScope.ALL
         if may_have_run and not sure and any(got.result == NACKED for got in seen.got):
             yield Break(rule, f"{seen.sent.edge} nacked a task that may have run", task)
     for mark, count in effects.items():
--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -7,6 +7,7 @@
 
 from tansykeel.interface import (
     BreakOff,
+    DeduplicationScope,
     Desk,
     Facts,
     HandOff,
@@ -14,7 +15,6 @@
     Nack,
     Outcome,
     RepeatSafety,
-    Scope,
     Signal,
     State,
     Store,
@@ -72,7 +72,9 @@
 
     def final(self, task: Task) -> Want:
         repeat, scope = task.category.repeat, task.category.scope
-        sure = repeat is RepeatSafety.IDEMPOTENT or repeat is RepeatSafety.DEDUPLICATED and scope is Scope.ALL
+        sure = (
+            repeat is RepeatSafety.IDEMPOTENT or repeat is RepeatSafety.DEDUPLICATED and scope is DeduplicationScope.ALL
+        )
         return BreakOff() if task.may_have_run and not sure else Nack(0)
 
 
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -7,6 +7,7 @@
 from tansykeel.interface import (
     BreakOff,
     Category,
+    DeduplicationScope,
     Desk,
     EvenParts,
     Facts,
@@ -15,7 +16,6 @@
     Nack,
     Outcome,
     RepeatSafety,
-    Scope,
     Signal,
     State,
     Store,
@@ -278,14 +278,14 @@
         if not task.may_have_run or task.category.repeat is RepeatSafety.IDEMPOTENT:
             return True
         (first, sent), scope = task.may_have_run[0], task.category.scope
-        near = store.zone == first.zone if scope is Scope.ZONE else store.shard == first.shard
-        return (scope is Scope.ALL or near) and self.desk.now < sent + task.category.window
+        near = store.zone == first.zone if scope is DeduplicationScope.ZONE else store.shard == first.shard
+        return (scope is DeduplicationScope.ALL or near) and self.desk.now < sent + task.category.window
 
     def final(self, task: Task) -> Want:
         """The answer of a task given up on: a nack wherever its promise holds."""
         allowed, of = self.facts.allowed, task.category
         sure = of.repeat is RepeatSafety.IDEMPOTENT or (
-            of.repeat is RepeatSafety.DEDUPLICATED and of.scope is Scope.ALL
+            of.repeat is RepeatSafety.DEDUPLICATED and of.scope is DeduplicationScope.ALL
         )
         come_back = min(self.tightest, allowed.longest_come_back) if allowed.come_back else 0
         return BreakOff() if task.may_have_run and not sure else Nack(come_back)
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -17,7 +17,7 @@
     AT_MOST_ONCE = "one-shot"
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """Which stores drop a repeat of a stamped task."""
 
     ALL = "all"
@@ -39,7 +39,7 @@
     gain: float
     late_gain: float
     repeat: RepeatSafety
-    scope: Scope
+    scope: DeduplicationScope
     window: int
     writes: bool
     ordered: bool
--- a/tansykeel/settings/build.py
+++ b/tansykeel/settings/build.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tansykeel.interface import Facts, Plan, RepeatSafety, Scope, Sizes
+from tansykeel.interface import DeduplicationScope, Facts, Plan, RepeatSafety, Sizes
 from tansykeel.settings import facts as make
 from tansykeel.settings import script
 from tansykeel.settings.records import (
@@ -259,7 +259,7 @@
                 gain=c.gain,
                 late_gain=c.late_gain,
                 repeat=RepeatSafety(c.repeat),
-                scope=Scope(c.scope),
+                scope=DeduplicationScope(c.scope),
                 window=c.window_ms * MS,
                 writes=c.writes,
                 ordered=c.ordered,
--- a/tansykeel/settings/facts.py
+++ b/tansykeel/settings/facts.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from tansykeel.interface import Allowed, BudgetRule, Category, ColdRule, Listing, RepeatSafety, Scope
+from tansykeel.interface import Allowed, BudgetRule, Category, ColdRule, DeduplicationScope, Listing, RepeatSafety
 
 TENTH = 100_000  # nanoseconds in a tenth of a millisecond
 
@@ -29,7 +29,7 @@
     gain: float,
     late_gain: float,
     repeat: RepeatSafety,
-    scope: Scope,
+    scope: DeduplicationScope,
     window: float,
     writes: bool,
     ordered: bool,
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from tansykeel.errors import Problem
-from tansykeel.interface import Facts, Plan, RepeatSafety, Scope, Sizes
+from tansykeel.interface import DeduplicationScope, Facts, Plan, RepeatSafety, Sizes
 from tansykeel.settings import facts as make
 from tansykeel.settings.facts import ceil, floor
 
@@ -17,7 +17,7 @@
     "deduplicated": RepeatSafety.DEDUPLICATED,
     "at_most_once": RepeatSafety.AT_MOST_ONCE,
 }
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.SHARD}
+SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.SHARD}
 
 
 class NotLegal(Problem, ValueError):
--- a/tests/audit/test_rules.py
+++ b/tests/audit/test_rules.py
@@ -32,19 +32,19 @@
     BudgetRule,
     Category,
     ColdRule,
+    DeduplicationScope,
     Facts,
     Listing,
     Plan,
     RepeatSafety,
-    Scope,
     Sizes,
 )
 from tansykeel.settings.shape import Shape
 
 S = 1_000_000
-READ = Category("read", 3_000, 20_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, Scope.ALL, 0, False, False, 0.0)
+READ = Category("read", 3_000, 20_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, DeduplicationScope.ALL, 0, False, False, 0.0)
 POST = replace(READ, name="post", repeat=RepeatSafety.AT_MOST_ONCE, ordered=True)
-PAY = replace(READ, name="pay", repeat=RepeatSafety.DEDUPLICATED, scope=Scope.SHARD, window=50_000)
+PAY = replace(READ, name="pay", repeat=RepeatSafety.DEDUPLICATED, scope=DeduplicationScope.SHARD, window=50_000)
 PLAN = Plan("basic", 10.0, 2.0, 1.0, 1.0, 5.0, 20.0, 1.0)
 SHAPE = Shape(cores=1, unit_ms=10.0, cold_share=0.1, cold_s=10, fall_multiple=2.0, fall_s=1.0)
 LAW = Law(
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -11,11 +11,11 @@
 from tansykeel.interface import (
     BreakOff,
     BudgetRule,
+    DeduplicationScope,
     HandOff,
     How,
     Listing,
     Nack,
-    Scope,
     Signal,
     State,
     Wait,
@@ -56,12 +56,12 @@
 @pytest.mark.parametrize(
     "scope, other, later, legal",
     [
-        (Scope.SHARD, dict(shard=0), 10, True),
-        (Scope.SHARD, dict(shard=1), 10, False),
-        (Scope.ZONE, dict(shard=1, zone=0), 10, True),
-        (Scope.ZONE, dict(shard=1, zone=1), 10, False),
-        (Scope.ALL, dict(shard=1, zone=1), 10, True),
-        (Scope.ALL, dict(shard=0), 5_000, False),
+        (DeduplicationScope.SHARD, dict(shard=0), 10, True),
+        (DeduplicationScope.SHARD, dict(shard=1), 10, False),
+        (DeduplicationScope.ZONE, dict(shard=1, zone=0), 10, True),
+        (DeduplicationScope.ZONE, dict(shard=1, zone=1), 10, False),
+        (DeduplicationScope.ALL, dict(shard=1, zone=1), 10, True),
+        (DeduplicationScope.ALL, dict(shard=0), 5_000, False),
     ],
 )
 def test_a_stamped_task_that_may_have_run_stays_in_its_group_and_window(scope, other, later, legal):
@@ -80,7 +80,7 @@
         (AT_MOST_ONCE, True, BreakOff),
         (AT_MOST_ONCE, False, Nack),
         (DEDUPLICATED, True, BreakOff),
-        (replace(DEDUPLICATED, scope=Scope.ALL), True, Nack),
+        (replace(DEDUPLICATED, scope=DeduplicationScope.ALL), True, Nack),
     ],
 )
 def test_a_nack_is_given_only_where_its_promise_holds(category, ran, answer):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,6 +10,7 @@
 from tansykeel.interface import (
     Allowed,
     Category,
+    DeduplicationScope,
     EvenParts,
     Facts,
     How,
@@ -17,7 +18,6 @@
     Outcome,
     Plan,
     RepeatSafety,
-    Scope,
     Signal,
     Sizes,
     State,
@@ -28,9 +28,11 @@
     Word,
 )
 
-IDEMPOTENT = Category("read", 2_500, 10_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, Scope.ALL, 0, False, False, 0.0)
+IDEMPOTENT = Category(
+    "read", 2_500, 10_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, DeduplicationScope.ALL, 0, False, False, 0.0
+)
 AT_MOST_ONCE = replace(IDEMPOTENT, repeat=RepeatSafety.AT_MOST_ONCE)
-DEDUPLICATED = replace(IDEMPOTENT, repeat=RepeatSafety.DEDUPLICATED, scope=Scope.SHARD, window=5_000)
+DEDUPLICATED = replace(IDEMPOTENT, repeat=RepeatSafety.DEDUPLICATED, scope=DeduplicationScope.SHARD, window=5_000)
 PLAN = Plan("plain", 10.0, 0.0, 1.0, 1.0, 0.0, 0.0, 0.0)
 
 
