--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -31,8 +31,8 @@
     Plan,
     RepeatSafety,
     Sizes,
-    State,
     Store,
+    StoreState,
     Task,
     Volume,
 )
@@ -69,7 +69,7 @@
         self.now, self.events, self.count, self.done = 10**6, [], 0, 0
         self.runner = Runner(self, self.now)
         self.brain = Scheduler(facts, 1, self.runner)
-        self.stores = [Store(n, shard=n, state=State.READY) for n in range(nodes)]
+        self.stores = [Store(n, shard=n, state=StoreState.READY) for n in range(nodes)]
         self.brain.list_changed(self.stores, True)
         self.volumes = [Volume(n, plan, 2.0) for n in range(volumes)]
         self.category, self.draw = read, random.Random(5)
--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -16,8 +16,8 @@
     Outcome,
     RepeatSafety,
     Signal,
-    State,
     Store,
+    StoreState,
     Task,
     Volume,
     Wait,
@@ -40,7 +40,7 @@
             desk.watch()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
-        ready = [store for store in stores if store.state is State.READY]
+        ready = [store for store in stores if store.state is StoreState.READY]
         self.by_shard = {store.shard: store for store in sorted(ready, key=lambda s: s.started)}
 
     def heard(self, peer: int, word: Word) -> None:
@@ -111,7 +111,7 @@
                 break
             if not (yield from self.room(store, task)):
                 break
-            if store.state is not State.READY:
+            if store.state is not StoreState.READY:
                 self.pass_on(store)
                 continue
             self.out[store] = self.out.get(store, 0) + 1
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -13,8 +13,8 @@
     Facts,
     How,
     Outcome,
-    State,
     Store,
+    StoreState,
     Task,
     Volume,
     Word,
@@ -25,7 +25,7 @@
 from tansykeel.settings.facts import ceil as _ceil
 from tansykeel.settings.facts import floor as _floor
 
-STATES = {0: State.GONE, 1: State.READY, 2: State.DRAINING}
+STATES = {0: StoreState.GONE, 1: StoreState.READY, 2: StoreState.DRAINING}
 HOWS = {
     100: How.DELIVERED,
     301: How.ERROR,
@@ -79,7 +79,7 @@
             if event.scope != 1:
                 for store in self.stores.values():
                     if store not in listed:
-                        store.state = State.GONE
+                        store.state = StoreState.GONE
             self.brain.list_changed(list(self.stores.values()), confirmed=event.scope != 2)
         self.runner.settle()
 
--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -6,7 +6,7 @@
 from collections import deque
 from heapq import heappop, heappush
 
-from tansykeel.interface import Desk, How, Outcome, Signal, State, Store, Task, Volume
+from tansykeel.interface import Desk, How, Outcome, Signal, Store, StoreState, Task, Volume
 
 from .cold import BY_ASKED, ROUND, SECOND, Young
 from .rates import AIM_PART, FRESH, Measured, Waits
@@ -78,7 +78,7 @@
         self.accrued = self.reset_at = desk.now
 
     def usable(self) -> bool:
-        return self.store.state is State.READY and self.desk.now >= self.resting
+        return self.store.state is StoreState.READY and self.desk.now >= self.resting
 
     def fits(self, task: Task, cost: float) -> bool:
         if not self.usable() or self.out >= MOST_OUT:
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -17,8 +17,8 @@
     Outcome,
     RepeatSafety,
     Signal,
-    State,
     Store,
+    StoreState,
     Task,
     Volume,
     Wait,
@@ -57,7 +57,7 @@
         self.asks = 0 if confirmed else self.asks
         cold, gateways = self.facts.cold, self.facts.gateways
         for store in stores:
-            if store not in self.nodes and store.state is not State.GONE:
+            if store not in self.nodes and store.state is not StoreState.GONE:
                 young = Young(cold, gateways, self.facts.me, self.least) if cold else None
                 self.nodes[store] = Node(
                     store,
@@ -70,14 +70,16 @@
                     self.waits,
                     gateways,
                 )
-        for node in [n for n in self.nodes.values() if n.store.state is State.GONE]:
+        for node in [n for n in self.nodes.values() if n.store.state is StoreState.GONE]:
             if not node.out and not node.held and self.desk.now - node.heard >= LEFT:
                 del self.nodes[node.store]
                 self.waits.seen.pop(node.store, None)
         self.by_shard = {}
         for node in self.nodes.values():
             best = self.by_shard.get(node.store.shard)
-            if node.store.state is State.READY and (best is None or node.store.started >= best.store.started):
+            if node.store.state is StoreState.READY and (
+                best is None or node.store.started >= best.store.started
+            ):
                 self.by_shard[node.store.shard] = node
         self.rank()
         for node in list(self.nodes.values()):
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -32,10 +32,10 @@
     UpdateOf,
     Wire,
 )
-from tansykeel.interface import BreakOff, Facts, How, Nack, Outcome, Parts, State, Store, Task, Want, Word
+from tansykeel.interface import BreakOff, Facts, How, Nack, Outcome, Parts, Store, StoreState, Task, Want, Word
 from tansykeel.runner import Runner
 
-LEAVING = {State.READY: 0, State.DRAINING: 1, State.GONE: 2}  # a store's way out, in order
+LEAVING = {StoreState.READY: 0, StoreState.DRAINING: 1, StoreState.GONE: 2}  # a store's way out, in order
 MOST_GONE = 1_000  # stores that are gone and still known by name, the newest ones
 
 
@@ -187,9 +187,9 @@
         if update.full:
             for name, store in self.stores.items():
                 if name not in rows:
-                    store.state = State.GONE
+                    store.state = StoreState.GONE
         self.brain.list_changed(list(self.stores.values()), confirmed=True)
-        gone = [name for name, store in self.stores.items() if store.state is State.GONE]
+        gone = [name for name, store in self.stores.items() if store.state is StoreState.GONE]
         for name in gone[:-MOST_GONE]:
             store = self.stores.pop(name)
             del self.addresses[store]
@@ -265,7 +265,7 @@
 
     def _rows(self, rows: Iterable[RowOf], anew: bool = False) -> None:
         for row in rows:
-            known, state = self.stores.get(row.name), State(row.state)
+            known, state = self.stores.get(row.name), StoreState(row.state)
             if anew and known and row.boot == self.boots.get(known, 0) and LEAVING[known.state] > LEAVING[state]:
                 # Guards against sends to a store that was heard to drain: whose versions count anew may be behind.
                 state = known.state
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -9,7 +9,7 @@
 from tansykeel.cluster.member import ClusterMember, Sent
 from tansykeel.edge.clock import clock
 from tansykeel.edge.core import Core
-from tansykeel.interface import State as StoreState
+from tansykeel.interface import StoreState
 from tansykeel.maintenance.canary_analysis import Seen
 from tansykeel.maintenance.controller import Ask, Controller
 from tansykeel.maintenance.disruption_budget import Place
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -15,7 +15,7 @@
 from tansykeel.emulator.engine import Engine
 from tansykeel.emulator.gateway import Gateway
 from tansykeel.emulator.stores import SimStore
-from tansykeel.interface import Desk, Facts, HandOff, How, Outcome, RepeatSafety, Signal, State, Store, Task, Wait
+from tansykeel.interface import Desk, Facts, HandOff, How, Outcome, RepeatSafety, Signal, Store, StoreState, Task, Wait
 from tansykeel.runner import Run
 from tansykeel.settings.day import Day
 
@@ -144,7 +144,7 @@
         addresses = self.eye.gateways[self.facts.me].core.addresses
         listed = [store for store in self.by_shard.values() if task.shard in (None, store.shard)]
         there = [(store, self.eye.stores[addresses[store]]) for store in listed]
-        found = [(store, true) for store, true in there if store.state is State.READY and true.listening]
+        found = [(store, true) for store, true in there if store.state is StoreState.READY and true.listening]
         return min(found, key=lambda pair: self.eye.out[pair[1]] + len(self.eye.waiting[pair[1]]), default=None)
 
     def serve(self, task: Task) -> Run:
@@ -163,9 +163,9 @@
             try:
                 self.eye.waiting[true].append(seat)
                 self.eye.pass_on(true)
-                while not seat.granted and self.desk.now < aim and store.state is State.READY and true.listening:
+                while not seat.granted and self.desk.now < aim and store.state is StoreState.READY and true.listening:
                     yield Wait(min(self.desk.now + LOOK, aim))
-                if not seat.granted or store.state is not State.READY:
+                if not seat.granted or store.state is not StoreState.READY:
                     continue
                 if task.hand_offs and self.extras is not None:
                     self.extras.extras.append(self.desk.now)
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -25,7 +25,7 @@
     SHARD = "shard"
 
 
-class State(Enum):
+class StoreState(Enum):
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
@@ -132,7 +132,7 @@
     zone: int = 0
     kind: int = 0
     shard: int = -1
-    state: State = State.GONE
+    state: StoreState = StoreState.GONE
     nominal: float = 1.0
     started: int = 0
 
--- a/tansykeel/platform/pool.py
+++ b/tansykeel/platform/pool.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from tansykeel.edge.tasks import Attempt
-from tansykeel.interface import How, State, Store
+from tansykeel.interface import How, Store, StoreState
 from tansykeel.platform.connection import ConnectionGateway, StoreConnection
 from tansykeel.platform.event_counts import EventCounts, StoreConnectionEnd
 from tansykeel.platform.request_rules import Verdict
@@ -123,13 +123,13 @@
     def list_changed(self) -> None:
         """Guards against what was granted before a drain or a new start was heard of: it is decided anew."""
         restarted = any(waiting.store_started != self.store.started for waiting in self.waiting)
-        if self.store.state is not State.READY or restarted:
+        if self.store.state is not StoreState.READY or restarted:
             obsolete, self.waiting = self.waiting, deque()
             for waiting in obsolete:
                 self.gateway.outcome(waiting.attempt, How.MOOT)
         address = self.gateway.address(self.store)
         moved = any(connection.address != address for connection in self.connections)
-        if self.store.state is State.GONE or moved:
+        if self.store.state is StoreState.GONE or moved:
             self.close_idle(StoreConnectionEnd.MOVED)
 
     def check_timeouts(self, now: float) -> None:
--- a/tansykeel/platform/request_rules.py
+++ b/tansykeel/platform/request_rules.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from tansykeel.edge.tasks import Attempt, Held
-from tansykeel.interface import Allowed, RepeatSafety, State
+from tansykeel.interface import Allowed, RepeatSafety, StoreState
 
 OVERDUE = 1_000  # tenths after a task's deadline (which is up to 0.1 s before its client's) at which it must be over
 MOST_LOGGED = 20  # violations of one invariant that are logged; all are counted
@@ -51,7 +51,7 @@
     held, task = attempt.held, attempt.held.task
     if held.answered:
         return Invariant.NO_ATTEMPT_AFTER_ANSWER
-    if attempt.store.state is not State.READY:
+    if attempt.store.state is not StoreState.READY:
         return Invariant.READY_STORE
     copies_allowed = allowed.copies and task.category.repeat is RepeatSafety.IDEMPOTENT
     if len(held.out) > 1 and not copies_allowed:
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -8,7 +8,7 @@
 from tansykeel.edge.core import Core
 from tansykeel.edge.tasks import Attempt
 from tansykeel.http1 import codec
-from tansykeel.interface import How, State, Store
+from tansykeel.interface import How, Store, StoreState
 from tansykeel.platform.clients import Client, Clients
 from tansykeel.platform.event_counts import EventCounts, StoreConnectionEnd
 from tansykeel.platform.pool import COOL_DOWN, Pool
@@ -84,7 +84,7 @@
         self.trusted = min(self.trusted * TRUST_GROWTH, self.idle_close * IDLE_PART)
         for store, pool in list(self.pools.items()):
             pool.check_timeouts(now)
-            if store.state is State.GONE and not pool.connections and not pool.waiting:
+            if store.state is StoreState.GONE and not pool.connections and not pool.waiting:
                 del self.pools[store]
 
     def pressure(self) -> None:
--- a/tests/brain/test_rates.py
+++ b/tests/brain/test_rates.py
@@ -13,7 +13,7 @@
 from tansykeel.interface import (
     Allowed,
     How,
-    State,
+    StoreState,
     Volume,
     Wait,
 )
@@ -29,7 +29,7 @@
         node.sent[sent] = desk.now
         node.learn(sent, outcome(How.DELIVERED))
         node.out = 0
-        stores[-1].state = State.GONE
+        stores[-1].state = StoreState.GONE
         stores.append(store(shard=0, started=desk.now))
         brain.list_changed(stores, True)
         desk.now += 200_000
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -17,7 +17,7 @@
     Listing,
     Nack,
     Signal,
-    State,
+    StoreState,
     Wait,
 )
 
@@ -91,7 +91,7 @@
     assert isinstance(brain.final(given_up), answer)
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
+@pytest.mark.parametrize("state", [StoreState.DRAINING, StoreState.GONE])
 def test_nothing_goes_to_a_node_that_leaves(state):
     at = store()
     brain, desk = scheduler([at])
@@ -219,7 +219,7 @@
 def test_a_replacement_under_a_new_id_takes_the_shard_over():
     at, new = store(), store()
     brain, desk = scheduler([at])
-    at.state = State.GONE
+    at.state = StoreState.GONE
     brain.list_changed([at], confirmed=True)
     assert isinstance(next(brain.serve(task(desk))), Nack)
     brain.list_changed([at, new], confirmed=True)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,8 +20,8 @@
     RepeatSafety,
     Signal,
     Sizes,
-    State,
     Store,
+    StoreState,
     Task,
     Volume,
     Wait,
@@ -83,7 +83,7 @@
 
 
 def store(shard: int = 0, **changes: Any) -> Store:
-    made = Store(f"store-{shard}", shard=shard, state=State.READY)
+    made = Store(f"store-{shard}", shard=shard, state=StoreState.READY)
     for name, value in changes.items():
         setattr(made, name, value)
     return made
