--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -15,12 +15,12 @@
     Nack,
     Outcome,
     RepeatSafety,
-    Signal,
     Store,
     StoreState,
     Task,
     Volume,
     Wait,
+    WakeReason,
     Want,
     Word,
 )
@@ -88,7 +88,7 @@
         self.out: dict[Store, int] = {}
         self.lines: dict[Store, deque[Task]] = {}
 
-    def room(self, store: Store, task: Task) -> Generator[Want, Signal | Outcome | None, bool]:
+    def room(self, store: Store, task: Task) -> Generator[Want, WakeReason | Outcome | None, bool]:
         """Wait until the store has room; False when the task's time is up."""
         line = self.lines.setdefault(store, deque())
         if self.out.get(store, 0) < self.WINDOW and not line:
@@ -97,12 +97,12 @@
         signal = yield Wait(task.deadline)
         if task in line:
             line.remove(task)
-        return signal is Signal.TURN
+        return signal is WakeReason.TURN
 
     def pass_on(self, store: Store) -> None:
         """Whoever is next at the store has its turn."""
         if line := self.lines.get(store):
-            self.desk.wake(line.popleft(), Signal.TURN)
+            self.desk.wake(line.popleft(), WakeReason.TURN)
 
     def serve(self, task: Task) -> Run:
         while task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline:
@@ -162,15 +162,15 @@
         self.rings: dict[Store, dict[Volume, deque[Task]]] = {}
         self.deficits: dict[tuple[Store, Volume], float] = {}
 
-    def room(self, store: Store, task: Task) -> Generator[Want, Signal | Outcome | None, bool]:
+    def room(self, store: Store, task: Task) -> Generator[Want, WakeReason | Outcome | None, bool]:
         ring = self.rings.setdefault(store, {})
         if self.out.get(store, 0) < self.WINDOW and not ring:
             return True
         ring.setdefault(task.volume, deque()).append(task)
         signal = yield Wait(task.deadline)
-        if signal is not Signal.TURN and task in ring.get(task.volume, ()):
+        if signal is not WakeReason.TURN and task in ring.get(task.volume, ()):
             self._take(store, task.volume, task)
-        return signal is Signal.TURN
+        return signal is WakeReason.TURN
 
     def _take(self, store: Store, volume: Volume, task: Task) -> None:
         ring = self.rings[store]
@@ -187,7 +187,7 @@
             if self.deficits.get(key, 0.0) >= first.units:
                 self.deficits[key] -= first.units
                 self._take(store, volume, first)
-                self.desk.wake(first, Signal.TURN)
+                self.desk.wake(first, WakeReason.TURN)
                 return
             self.deficits[key] = self.deficits.get(key, 0.0) + self.QUANTUM
             ring[volume] = ring.pop(volume)  # to the end of the ring
--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -6,7 +6,7 @@
 from collections import deque
 from heapq import heappop, heappush
 
-from tansykeel.interface import Desk, How, Outcome, Signal, Store, StoreState, Task, Volume
+from tansykeel.interface import Desk, How, Outcome, Store, StoreState, Task, Volume, WakeReason
 
 from .cold import BY_ASKED, ROUND, SECOND, Young
 from .rates import AIM_PART, FRESH, Measured, Waits
@@ -245,7 +245,7 @@
             self.young.credit -= task.units
         if not line.held:
             self.lull(line)
-        self.desk.wake(task, Signal.TURN)
+        self.desk.wake(task, WakeReason.TURN)
 
     def release(self, cost: float) -> None:
         self.out, self.tokens_out = self.out - 1, self.tokens_out - cost
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -16,12 +16,12 @@
     Nack,
     Outcome,
     RepeatSafety,
-    Signal,
     Store,
     StoreState,
     Task,
     Volume,
     Wait,
+    WakeReason,
     Want,
     Word,
 )
@@ -87,7 +87,7 @@
                 node.round()
                 continue
             for task in [task for line in node.lines.values() for task in line.held]:
-                self.desk.wake(task, Signal.MOVED)
+                self.desk.wake(task, WakeReason.MOVED)
 
     def list_failed(self) -> None:
         # Guards against news that whoever pushes holds: it counts as told, and calls there cost nothing.
@@ -121,7 +121,7 @@
                 return node
         return min(self.ranked, key=lambda n: (n.held_tokens + n.tokens_out) / n.rate, default=None)
 
-    def serve(self, task: Task) -> Generator[Want, Signal | Outcome | None, None]:
+    def serve(self, task: Task) -> Generator[Want, WakeReason | Outcome | None, None]:
         """The ordinary path: find the node, wait for the turn, hand off, judge the outcome."""
         now, state, aim = self.desk.now, self.state_of(task.volume), self.aim_of(task)
         if late := aim <= now:  # worth little any more: it goes only where nothing waits
@@ -150,9 +150,9 @@
                     state.short.pop(task, None)
                     continue
                 node.hold(line, task)
-                if (signal := (yield Wait(latest))) is not Signal.TURN:
+                if (signal := (yield Wait(latest))) is not WakeReason.TURN:
                     node.drop(line, task)
-                    if signal is Signal.MOVED:
+                    if signal is WakeReason.MOVED:
                         continue
                     break
                 legal = self.may_hand_off(task) and self.in_group(task, node.store)
@@ -263,7 +263,7 @@
             if word.gift:
                 state.got += word.units
                 for task in state.short:
-                    self.desk.wake(task, Signal.MOVED)
+                    self.desk.wake(task, WakeReason.MOVED)
             elif gift >= 1 or peer not in state.peers:
                 state.units -= gift
                 self.desk.tell(peer, Word(word.volume, gift, True))
@@ -292,7 +292,7 @@
         come_back = min(self.tightest, allowed.longest_come_back) if allowed.come_back else 0
         return BreakOff() if task.may_have_run and not sure else Nack(come_back)
 
-    def turn_on_key(self, task: Task, aim: int) -> Generator[Want, Signal | Outcome | None, bool]:
+    def turn_on_key(self, task: Task, aim: int) -> Generator[Want, WakeReason | Outcome | None, bool]:
         """Wait until the task is first on its key and the key has rested; False if that comes too late."""
         line = self.keys.setdefault(task.key, KeyLine(self.born + self.facts.key_rest))  # of an earlier life
         line.tasks.append(task)
@@ -306,6 +306,6 @@
         if task.category.ordered and (line := self.keys.get(task.key)) and task in line.tasks:
             line.tasks.remove(task)
             if line.tasks:
-                self.desk.wake(line.tasks[0], Signal.MOVED)
+                self.desk.wake(line.tasks[0], WakeReason.MOVED)
             elif self.desk.now >= line.rests_until:
                 del self.keys[task.key]
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -15,7 +15,19 @@
 from tansykeel.emulator.engine import Engine
 from tansykeel.emulator.gateway import Gateway
 from tansykeel.emulator.stores import SimStore
-from tansykeel.interface import Desk, Facts, HandOff, How, Outcome, RepeatSafety, Signal, Store, StoreState, Task, Wait
+from tansykeel.interface import (
+    Desk,
+    Facts,
+    HandOff,
+    How,
+    Outcome,
+    RepeatSafety,
+    Store,
+    StoreState,
+    Task,
+    Wait,
+    WakeReason,
+)
 from tansykeel.runner import Run
 from tansykeel.settings.day import Day
 
@@ -131,7 +143,7 @@
     def turn(self, task: Task) -> None:
         """The gateway may be another than the one whose event led to this: it is told by an event of its own."""
         gateway = self.eye.gateways[self.facts.me]
-        self.desk.wake(task, Signal.TURN)
+        self.desk.wake(task, WakeReason.TURN)
         gateway.engine.after(0, gateway.tell, gateway.life, self.look)
 
     def look(self) -> None:
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -195,7 +195,7 @@
     gift: bool
 
 
-class Signal(Enum):
+class WakeReason(Enum):
     TURN = "turn"
     TIME = "time"
     MOVED = "moved"
@@ -211,7 +211,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Hold the task; resumed with a Signal, TIME at `until` unless woken before."""
+    """Hold the task; resumed with a WakeReason, TIME at `until` unless woken before."""
 
     until: int
 
@@ -250,7 +250,7 @@
     now: int
     parts: Parts
 
-    def wake(self, task: Task, signal: Signal) -> None: ...
+    def wake(self, task: Task, signal: WakeReason) -> None: ...
     def alarm(self, at: int, call: Callable[[], None]) -> None: ...
     def watch(self) -> None: ...
     def tell(self, peer: int | None, word: Word) -> None: ...  # None: all other gateways
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -7,9 +7,22 @@
 from collections.abc import Callable, Generator
 from functools import partial
 
-from tansykeel.interface import BreakOff, Door, EvenParts, HandOff, Nack, Outcome, Parts, Signal, Task, Wait, Want, Word
-
-Run = Generator[Want, "Signal | Outcome | None", None]
+from tansykeel.interface import (
+    BreakOff,
+    Door,
+    EvenParts,
+    HandOff,
+    Nack,
+    Outcome,
+    Parts,
+    Task,
+    Wait,
+    WakeReason,
+    Want,
+    Word,
+)
+
+Run = Generator[Want, "WakeReason | Outcome | None", None]
 
 
 class Runner:
@@ -20,7 +33,7 @@
         self._door = door
         self._runs: dict[Task, Run] = {}
         self._waits: dict[Task, int] = {}
-        self._woken: deque[tuple[Task, Signal]] = deque()
+        self._woken: deque[tuple[Task, WakeReason]] = deque()
         self._alarms: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
         self._reminder: int | None = None
@@ -59,7 +72,7 @@
         self._resume_woken()
         self._arm()
 
-    def wake(self, task: Task, signal: Signal) -> None:
+    def wake(self, task: Task, signal: WakeReason) -> None:
         """Resume a task once the one running now has yielded; it may still be about to wait."""
         self._woken.append((task, signal))
 
@@ -90,9 +103,9 @@
     def _time_up(self, task: Task, ticket: int) -> None:
         if self._waits.get(task) == ticket:
             del self._waits[task]
-            self._resume(task, Signal.TIME)
+            self._resume(task, WakeReason.TIME)
 
-    def _resume(self, task: Task, value: Signal | Outcome | None) -> None:
+    def _resume(self, task: Task, value: WakeReason | Outcome | None) -> None:
         run = self._runs[task]
         try:
             want = run.send(value)
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -15,9 +15,9 @@
     How,
     Nack,
     Outcome,
-    Signal,
     Volume,
     Wait,
+    WakeReason,
     Word,
 )
 
@@ -120,7 +120,7 @@
     assert [state.units for state in states] == [0.5, 3.0, 3.0]
     pass_on(made, volumes)  # given
     assert [state.units for state in states] == [6.5, 3.0, 3.0]
-    assert set(made[0][1].woken) == {(wanted, Signal.MOVED)} and set(states[0].peers) == {1, 2}
+    assert set(made[0][1].woken) == {(wanted, WakeReason.MOVED)} and set(states[0].peers) == {1, 2}
 
 
 def test_no_part_of_a_limit_grows_past_its_depth_by_gifts():
@@ -206,7 +206,7 @@
     turn(run, desk, brain)
     assert state.units == 92.0
     run.send(outcome(How.ERROR))
-    run.send(Signal.TURN)
+    run.send(WakeReason.TURN)
     assert state.units == 92.0
 
 
@@ -222,10 +222,10 @@
     node.bucket = 100.0
     node.round()
     assert len(desk.woken) == 1
-    assert isinstance(runs[0].send(Signal.TURN), HandOff) and state.units == 2.0
+    assert isinstance(runs[0].send(WakeReason.TURN), HandOff) and state.units == 2.0
     node.out = node.tokens_out = 0
     node.round()
-    assert not isinstance(runs[1].send(Signal.TURN), HandOff)
+    assert not isinstance(runs[1].send(WakeReason.TURN), HandOff)
 
 
 def test_a_limit_is_earned_by_the_part_that_counts_and_a_smaller_one_holds_less():
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -10,7 +10,7 @@
 from tansykeel.benchlink import words
 from tansykeel.benchlink.host import read_facts
 from tansykeel.benchlink.wire import EVERYONE, Dropped, Malformed, Outbox, Query, Reminder, batches
-from tansykeel.interface import Nack, Signal, Wait
+from tansykeel.interface import Nack, Wait, WakeReason
 from tansykeel.runner import Runner
 
 FRAME = bytes.fromhex(
@@ -122,11 +122,11 @@
         yield Nack(7)
 
     runner.start(held, run())
-    runner.wake(held, Signal.TURN)
+    runner.wake(held, WakeReason.TURN)
     runner.settle()
     runner.move(200)
     runner.reminded()
-    assert seen == [Signal.TURN]
+    assert seen == [WakeReason.TURN]
     runner.move(300)
     runner.reminded()
-    assert seen == [Signal.TURN, Signal.TIME] and door[-1] == ("nack", 7)
+    assert seen == [WakeReason.TURN, WakeReason.TIME] and door[-1] == ("nack", 7)
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -16,9 +16,9 @@
     How,
     Listing,
     Nack,
-    Signal,
     StoreState,
     Wait,
+    WakeReason,
 )
 
 
@@ -104,8 +104,8 @@
     assert isinstance(next(run), Wait)
     at.state = state
     brain.list_changed([at], confirmed=True)
-    assert desk.woken == [(held, Signal.MOVED)]
-    assert isinstance(run.send(Signal.MOVED), Nack)
+    assert desk.woken == [(held, WakeReason.MOVED)]
+    assert isinstance(run.send(WakeReason.MOVED), Nack)
 
 
 @pytest.mark.parametrize("stores, shard", [([], 0), ([], None), ([store(shard=3)], 0)])
@@ -144,7 +144,7 @@
     brain.extras.extras.append(desk.now)
     desk.now += 200
     node.round()
-    assert isinstance(run.send(Signal.TURN), Nack)
+    assert isinstance(run.send(WakeReason.TURN), Nack)
     assert (node.out, node.tokens_out, node.sent) == (0, 0.0, {})
 
 
@@ -159,8 +159,8 @@
     desk.woken.clear()
     with pytest.raises(StopIteration):
         run.send(outcome(How.TIMED_OUT, over=True))
-    assert desk.woken == [(second, Signal.MOVED)]
-    assert other.send(Signal.MOVED) == Wait(desk.now + 700)
+    assert desk.woken == [(second, WakeReason.MOVED)]
+    assert other.send(WakeReason.MOVED) == Wait(desk.now + 700)
 
 
 def test_failed_calls_for_the_list_are_spaced_out_within_what_counts_as_told():
@@ -226,14 +226,14 @@
     assert brain.node_for(task(desk)) is brain.nodes[new]
 
 
-@pytest.mark.parametrize("signal", [Signal.TIME, Signal.TURN])
+@pytest.mark.parametrize("signal", [WakeReason.TIME, WakeReason.TURN])
 def test_a_wake_up_far_past_its_time_sends_nothing(signal):
     brain, desk = scheduler([store()])
     next(iter(brain.nodes.values())).out = 1
     run = brain.serve(task(desk))
     assert isinstance(next(run), Wait)
     desk.now += 50_000
-    if signal is Signal.TURN:
+    if signal is WakeReason.TURN:
         next(iter(brain.nodes.values())).release(0.0)
     assert isinstance(run.send(signal), Nack)
 
@@ -251,4 +251,6 @@
     run = brain.serve(task(desk, category=ordered, key=9))
     assert next(run).until == desk.now + 700
     desk.now += 700
-    assert isinstance(run.send(Signal.TIME), Wait) and desk.woken[-1][1] is Signal.TURN  # it is its node's turn now
+    assert (
+        isinstance(run.send(WakeReason.TIME), Wait) and desk.woken[-1][1] is WakeReason.TURN
+    )  # it is its node's turn now
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,13 +18,13 @@
     Outcome,
     Plan,
     RepeatSafety,
-    Signal,
     Sizes,
     Store,
     StoreState,
     Task,
     Volume,
     Wait,
+    WakeReason,
     Word,
 )
 
@@ -41,13 +41,13 @@
 
     def __init__(self) -> None:
         self.now, self.parts = 1_000_000, EvenParts()
-        self.woken: list[tuple[Task, Signal]] = []
+        self.woken: list[tuple[Task, WakeReason]] = []
         self.alarms: list[tuple[int, Callable[[], None]]] = []
         self.watches = 0
         self.notes: list[str] = []
         self.told: list[tuple[int | None, Word]] = []
 
-    def wake(self, task: Task, signal: Signal) -> None:
+    def wake(self, task: Task, signal: WakeReason) -> None:
         self.woken.append((task, signal))
 
     def alarm(self, at: int, call: Callable[[], None]) -> None:
@@ -124,5 +124,5 @@
     desk.now += 200
     for node in brain.nodes.values():
         node.round()
-    assert desk.woken[-1][1] is Signal.TURN
-    return run.send(Signal.TURN)
+    assert desk.woken[-1][1] is WakeReason.TURN
+    return run.send(WakeReason.TURN)
