--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -97,12 +97,12 @@
         signal = yield Wait(task.deadline)
         if task in line:
             line.remove(task)
-        return signal is WakeReason.TURN
+        return signal is WakeReason.GRANTED
 
     def pass_on(self, store: Store) -> None:
         """Whoever is next at the store has its turn."""
         if line := self.lines.get(store):
-            self.desk.wake(line.popleft(), WakeReason.TURN)
+            self.desk.wake(line.popleft(), WakeReason.GRANTED)
 
     def serve(self, task: Task) -> Run:
         while task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline:
@@ -168,9 +168,9 @@
             return True
         ring.setdefault(task.volume, deque()).append(task)
         signal = yield Wait(task.deadline)
-        if signal is not WakeReason.TURN and task in ring.get(task.volume, ()):
+        if signal is not WakeReason.GRANTED and task in ring.get(task.volume, ()):
             self._take(store, task.volume, task)
-        return signal is WakeReason.TURN
+        return signal is WakeReason.GRANTED
 
     def _take(self, store: Store, volume: Volume, task: Task) -> None:
         ring = self.rings[store]
@@ -187,7 +187,7 @@
             if self.deficits.get(key, 0.0) >= first.units:
                 self.deficits[key] -= first.units
                 self._take(store, volume, first)
-                self.desk.wake(first, WakeReason.TURN)
+                self.desk.wake(first, WakeReason.GRANTED)
                 return
             self.deficits[key] = self.deficits.get(key, 0.0) + self.QUANTUM
             ring[volume] = ring.pop(volume)  # to the end of the ring
--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -245,7 +245,7 @@
             self.young.credit -= task.units
         if not line.held:
             self.lull(line)
-        self.desk.wake(task, WakeReason.TURN)
+        self.desk.wake(task, WakeReason.GRANTED)
 
     def release(self, cost: float) -> None:
         self.out, self.tokens_out = self.out - 1, self.tokens_out - cost
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -150,7 +150,7 @@
                     state.short.pop(task, None)
                     continue
                 node.hold(line, task)
-                if (signal := (yield Wait(latest))) is not WakeReason.TURN:
+                if (signal := (yield Wait(latest))) is not WakeReason.GRANTED:
                     node.drop(line, task)
                     if signal is WakeReason.MOVED:
                         continue
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -143,7 +143,7 @@
     def turn(self, task: Task) -> None:
         """The gateway may be another than the one whose event led to this: it is told by an event of its own."""
         gateway = self.eye.gateways[self.facts.me]
-        self.desk.wake(task, WakeReason.TURN)
+        self.desk.wake(task, WakeReason.GRANTED)
         gateway.engine.after(0, gateway.tell, gateway.life, self.look)
 
     def look(self) -> None:
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -196,7 +196,7 @@
 
 
 class WakeReason(Enum):
-    TURN = "turn"
+    GRANTED = "turn"
     TIME = "time"
     MOVED = "moved"
 
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -206,7 +206,7 @@
     turn(run, desk, brain)
     assert state.units == 92.0
     run.send(outcome(How.ERROR))
-    run.send(WakeReason.TURN)
+    run.send(WakeReason.GRANTED)
     assert state.units == 92.0
 
 
@@ -222,10 +222,10 @@
     node.bucket = 100.0
     node.round()
     assert len(desk.woken) == 1
-    assert isinstance(runs[0].send(WakeReason.TURN), HandOff) and state.units == 2.0
+    assert isinstance(runs[0].send(WakeReason.GRANTED), HandOff) and state.units == 2.0
     node.out = node.tokens_out = 0
     node.round()
-    assert not isinstance(runs[1].send(WakeReason.TURN), HandOff)
+    assert not isinstance(runs[1].send(WakeReason.GRANTED), HandOff)
 
 
 def test_a_limit_is_earned_by_the_part_that_counts_and_a_smaller_one_holds_less():
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -122,11 +122,11 @@
         yield Nack(7)
 
     runner.start(held, run())
-    runner.wake(held, WakeReason.TURN)
+    runner.wake(held, WakeReason.GRANTED)
     runner.settle()
     runner.move(200)
     runner.reminded()
-    assert seen == [WakeReason.TURN]
+    assert seen == [WakeReason.GRANTED]
     runner.move(300)
     runner.reminded()
-    assert seen == [WakeReason.TURN, WakeReason.TIME] and door[-1] == ("nack", 7)
+    assert seen == [WakeReason.GRANTED, WakeReason.TIME] and door[-1] == ("nack", 7)
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -144,7 +144,7 @@
     brain.extras.extras.append(desk.now)
     desk.now += 200
     node.round()
-    assert isinstance(run.send(WakeReason.TURN), Nack)
+    assert isinstance(run.send(WakeReason.GRANTED), Nack)
     assert (node.out, node.tokens_out, node.sent) == (0, 0.0, {})
 
 
@@ -226,14 +226,14 @@
     assert brain.node_for(task(desk)) is brain.nodes[new]
 
 
-@pytest.mark.parametrize("signal", [WakeReason.TIME, WakeReason.TURN])
+@pytest.mark.parametrize("signal", [WakeReason.TIME, WakeReason.GRANTED])
 def test_a_wake_up_far_past_its_time_sends_nothing(signal):
     brain, desk = scheduler([store()])
     next(iter(brain.nodes.values())).out = 1
     run = brain.serve(task(desk))
     assert isinstance(next(run), Wait)
     desk.now += 50_000
-    if signal is WakeReason.TURN:
+    if signal is WakeReason.GRANTED:
         next(iter(brain.nodes.values())).release(0.0)
     assert isinstance(run.send(signal), Nack)
 
@@ -252,5 +252,5 @@
     assert next(run).until == desk.now + 700
     desk.now += 700
     assert (
-        isinstance(run.send(WakeReason.TIME), Wait) and desk.woken[-1][1] is WakeReason.TURN
+        isinstance(run.send(WakeReason.TIME), Wait) and desk.woken[-1][1] is WakeReason.GRANTED
     )  # it is its node's turn now
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -124,5 +124,5 @@
     desk.now += 200
     for node in brain.nodes.values():
         node.round()
-    assert desk.woken[-1][1] is WakeReason.TURN
-    return run.send(WakeReason.TURN)
+    assert desk.woken[-1][1] is WakeReason.GRANTED
+    return run.send(WakeReason.GRANTED)
