--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -197,7 +197,7 @@
 
 class WakeReason(Enum):
     GRANTED = "turn"
-    TIME = "time"
+    TIMER = "time"
     MOVED = "moved"
 
 
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -103,7 +103,7 @@
     def _time_up(self, task: Task, ticket: int) -> None:
         if self._waits.get(task) == ticket:
             del self._waits[task]
-            self._resume(task, WakeReason.TIME)
+            self._resume(task, WakeReason.TIMER)
 
     def _resume(self, task: Task, value: WakeReason | Outcome | None) -> None:
         run = self._runs[task]
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -129,4 +129,4 @@
     assert seen == [WakeReason.GRANTED]
     runner.move(300)
     runner.reminded()
-    assert seen == [WakeReason.GRANTED, WakeReason.TIME] and door[-1] == ("nack", 7)
+    assert seen == [WakeReason.GRANTED, WakeReason.TIMER] and door[-1] == ("nack", 7)
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -226,7 +226,7 @@
     assert brain.node_for(task(desk)) is brain.nodes[new]
 
 
-@pytest.mark.parametrize("signal", [WakeReason.TIME, WakeReason.GRANTED])
+@pytest.mark.parametrize("signal", [WakeReason.TIMER, WakeReason.GRANTED])
 def test_a_wake_up_far_past_its_time_sends_nothing(signal):
     brain, desk = scheduler([store()])
     next(iter(brain.nodes.values())).out = 1
@@ -252,5 +252,5 @@
     assert next(run).until == desk.now + 700
     desk.now += 700
     assert (
-        isinstance(run.send(WakeReason.TIME), Wait) and desk.woken[-1][1] is WakeReason.GRANTED
+        isinstance(run.send(WakeReason.TIMER), Wait) and desk.woken[-1][1] is WakeReason.GRANTED
     )  # it is its node's turn now
