--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -87,7 +87,7 @@
                 node.round()
                 continue
             for task in [task for line in node.lines.values() for task in line.held]:
-                self.desk.wake(task, WakeReason.MOVED)
+                self.desk.wake(task, WakeReason.RECHECK)
 
     def list_failed(self) -> None:
         # Guards against news that whoever pushes holds: it counts as told, and calls there cost nothing.
@@ -152,7 +152,7 @@
                 node.hold(line, task)
                 if (signal := (yield Wait(latest))) is not WakeReason.GRANTED:
                     node.drop(line, task)
-                    if signal is WakeReason.MOVED:
+                    if signal is WakeReason.RECHECK:
                         continue
                     break
                 legal = self.may_hand_off(task) and self.in_group(task, node.store)
@@ -263,7 +263,7 @@
             if word.gift:
                 state.got += word.units
                 for task in state.short:
-                    self.desk.wake(task, WakeReason.MOVED)
+                    self.desk.wake(task, WakeReason.RECHECK)
             elif gift >= 1 or peer not in state.peers:
                 state.units -= gift
                 self.desk.tell(peer, Word(word.volume, gift, True))
@@ -306,6 +306,6 @@
         if task.category.ordered and (line := self.keys.get(task.key)) and task in line.tasks:
             line.tasks.remove(task)
             if line.tasks:
-                self.desk.wake(line.tasks[0], WakeReason.MOVED)
+                self.desk.wake(line.tasks[0], WakeReason.RECHECK)
             elif self.desk.now >= line.rests_until:
                 del self.keys[task.key]
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -198,7 +198,7 @@
 class WakeReason(Enum):
     GRANTED = "turn"
     TIMER = "time"
-    MOVED = "moved"
+    RECHECK = "moved"
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -120,7 +120,7 @@
     assert [state.units for state in states] == [0.5, 3.0, 3.0]
     pass_on(made, volumes)  # given
     assert [state.units for state in states] == [6.5, 3.0, 3.0]
-    assert set(made[0][1].woken) == {(wanted, WakeReason.MOVED)} and set(states[0].peers) == {1, 2}
+    assert set(made[0][1].woken) == {(wanted, WakeReason.RECHECK)} and set(states[0].peers) == {1, 2}
 
 
 def test_no_part_of_a_limit_grows_past_its_depth_by_gifts():
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -104,8 +104,8 @@
     assert isinstance(next(run), Wait)
     at.state = state
     brain.list_changed([at], confirmed=True)
-    assert desk.woken == [(held, WakeReason.MOVED)]
-    assert isinstance(run.send(WakeReason.MOVED), Nack)
+    assert desk.woken == [(held, WakeReason.RECHECK)]
+    assert isinstance(run.send(WakeReason.RECHECK), Nack)
 
 
 @pytest.mark.parametrize("stores, shard", [([], 0), ([], None), ([store(shard=3)], 0)])
@@ -159,8 +159,8 @@
     desk.woken.clear()
     with pytest.raises(StopIteration):
         run.send(outcome(How.TIMED_OUT, over=True))
-    assert desk.woken == [(second, WakeReason.MOVED)]
-    assert other.send(WakeReason.MOVED) == Wait(desk.now + 700)
+    assert desk.woken == [(second, WakeReason.RECHECK)]
+    assert other.send(WakeReason.RECHECK) == Wait(desk.now + 700)
 
 
 def test_failed_calls_for_the_list_are_spaced_out_within_what_counts_as_told():
