--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -25,9 +25,9 @@
     Category,
     DeduplicationScope,
     Facts,
-    How,
     Listing,
     Outcome,
+    OutcomeKind,
     Plan,
     RepeatSafety,
     Sizes,
@@ -100,7 +100,7 @@
                 self.runner.reminded()
             else:
                 self.done += 1
-                self.runner.outcome(rest[0], Outcome(How.DELIVERED, LAG, True, None, 1))
+                self.runner.outcome(rest[0], Outcome(OutcomeKind.DELIVERED, LAG, True, None, 1))
         self.now = moment
         self.runner.move(moment)
 
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -11,8 +11,8 @@
 from tansykeel.brain import Scheduler
 from tansykeel.interface import (
     Facts,
-    How,
     Outcome,
+    OutcomeKind,
     Store,
     StoreState,
     Task,
@@ -27,14 +27,14 @@
 
 STATES = {0: StoreState.GONE, 1: StoreState.READY, 2: StoreState.DRAINING}
 HOWS = {
-    100: How.DELIVERED,
-    301: How.ERROR,
-    302: How.FULL,
-    303: How.TIMED_OUT,
-    304: How.NO_CONNECTION,
-    305: How.RESET,
-    306: How.CANCELLED,
-    307: How.MOOT,
+    100: OutcomeKind.DELIVERED,
+    301: OutcomeKind.ERROR,
+    302: OutcomeKind.FULL,
+    303: OutcomeKind.TIMED_OUT,
+    304: OutcomeKind.NO_CONNECTION,
+    305: OutcomeKind.RESET,
+    306: OutcomeKind.CANCELLED,
+    307: OutcomeKind.MOOT,
 }
 
 
@@ -116,7 +116,7 @@
         task = self.tasks.get(event.id)
         if task is None:
             return
-        if how is How.DELIVERED or event.final:
+        if how is OutcomeKind.DELIVERED or event.final:
             del self.tasks[event.id]
         used = event.used - 1 if event.used else None
         elsewhere = event.elsewhere if self.facts.tells_elsewhere else None
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -12,9 +12,9 @@
     EvenParts,
     Facts,
     HandOff,
-    How,
     Nack,
     Outcome,
+    OutcomeKind,
     RepeatSafety,
     Store,
     StoreState,
@@ -164,14 +164,17 @@
                 sent, outcome = self.desk.now, (yield HandOff(node.store, self.time_out(task, node, aim)))
                 assert isinstance(outcome, Outcome)
                 node.learn(task, outcome)
-                if outcome.how is How.DELIVERED and (outcome.elsewhere, outcome.used) != (None, None):
+                if outcome.how is OutcomeKind.DELIVERED and (outcome.elsewhere, outcome.used) != (None, None):
                     state.tell(task.units, outcome, task.volume.plan, self.desk.now)
                 if not outcome.never_ran:
                     task.may_have_run.append((node.store, sent))
-                    if outcome.how in (How.TIMED_OUT, How.RESET, How.CANCELLED) and task.key in self.keys:
+                    if (
+                        outcome.how in (OutcomeKind.TIMED_OUT, OutcomeKind.RESET, OutcomeKind.CANCELLED)
+                        and task.key in self.keys
+                    ):
                         self.keys[task.key].rests_until = self.desk.now + self.facts.key_rest
                 node.round()
-                if outcome.over or outcome.how is How.DELIVERED:
+                if outcome.over or outcome.how is OutcomeKind.DELIVERED:
                     return
             yield self.final(task)
         finally:
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -32,7 +32,7 @@
     UpdateOf,
     Wire,
 )
-from tansykeel.interface import BreakOff, Facts, How, Nack, Outcome, Parts, Store, StoreState, Task, Want, Word
+from tansykeel.interface import BreakOff, Facts, Nack, Outcome, OutcomeKind, Parts, Store, StoreState, Task, Want, Word
 from tansykeel.runner import Runner
 
 LEAVING = {StoreState.READY: 0, StoreState.DRAINING: 1, StoreState.GONE: 2}  # a store's way out, in order
@@ -131,7 +131,7 @@
         self,
         now: int,
         attempt: Attempt,
-        how: How,
+        how: OutcomeKind,
         *,
         shard: int = -1,
         body: list[bytes] | None = None,
@@ -148,7 +148,7 @@
         held.out.remove(attempt)
         held.last_outcome = how.value
         self.counts.outcomes[how.value] = self.counts.outcomes.get(how.value, 0) + 1
-        if how is How.DELIVERED and not held.answered:
+        if how is OutcomeKind.DELIVERED and not held.answered:
             self._answer(held, Final(DELIVERED, 0, shard if shard >= 0 else attempt.store.shard), body or [])
         told = Outcome(
             how,
@@ -301,7 +301,7 @@
         if attempt.over:
             return
         self._take_back(attempt)
-        self.outcome(self.runner.now, attempt, How.TIMED_OUT)
+        self.outcome(self.runner.now, attempt, OutcomeKind.TIMED_OUT)
 
     def _take_back(self, attempt: Attempt) -> None:
         """Guards against an attempt that begins though nobody waits for it, also where none may be cancelled: one
--- a/tansykeel/edge/stores.py
+++ b/tansykeel/edge/stores.py
@@ -14,14 +14,17 @@
 from tansykeel.edge.core import Core
 from tansykeel.edge.native import hand_off_of
 from tansykeel.edge.tasks import Attempt
-from tansykeel.interface import How, Store
+from tansykeel.interface import OutcomeKind, Store
 from tansykeel.protocol.codec import Codec, Event, Frame, Piece
 from tansykeel.protocol.frames import Cancel, Hello, OutcomeOf
 from tansykeel.settings.records import Gateway
 from tansykeel.transport.link import Hub, Link
 from tansykeel.transport.sockets import connect
 
-HOWS = {how.value: how for how in (How.DELIVERED, How.ERROR, How.FULL, How.MOOT, How.CANCELLED)}
+HOWS = {
+    how.value: how
+    for how in (OutcomeKind.DELIVERED, OutcomeKind.ERROR, OutcomeKind.FULL, OutcomeKind.MOOT, OutcomeKind.CANCELLED)
+}
 
 
 class Connection:
@@ -65,7 +68,7 @@
         if attempt not in self.waiting:
             return False
         self.waiting.remove(attempt)
-        self.stores.later(attempt, How.CANCELLED)
+        self.stores.later(attempt, OutcomeKind.CANCELLED)
         return True
 
     def cancel(self, attempt: Attempt) -> None:
@@ -111,7 +114,7 @@
             self.connections.remove(connection)
         if not self.connections:
             while self.waiting:
-                self.stores.core_outcome(self.waiting.popleft(), How.NO_CONNECTION)
+                self.stores.core_outcome(self.waiting.popleft(), OutcomeKind.NO_CONNECTION)
 
     def _lost(self, connection: Connection) -> None:
         out, was_ready = list(connection.out.values()), connection.ready
@@ -121,7 +124,7 @@
             return self._failed(connection)
         self.connections.remove(connection)
         for attempt in out:
-            self.stores.core_outcome(attempt, How.RESET)
+            self.stores.core_outcome(attempt, OutcomeKind.RESET)
         if self.waiting and not self.connections:
             self._open()
 
@@ -158,7 +161,7 @@
             # together it would push it over. It was not sent, and the module decides anew.
             unsent, self.waiting = list(self.waiting), deque()
             for attempt in unsent:
-                self.stores.core_outcome(attempt, How.MOOT)
+                self.stores.core_outcome(attempt, OutcomeKind.MOOT)
         while self.waiting and len(connection.out) < self.stores.gateway.streams_per_connection:
             attempt = self.waiting.popleft()
             if not attempt.over:
@@ -229,9 +232,9 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def later(self, attempt: Attempt, how: How) -> None:
+    def later(self, attempt: Attempt, how: OutcomeKind) -> None:
         """Tell the core of an outcome once it has returned."""
         asyncio.get_running_loop().call_soon(self.core_outcome, attempt, how)
 
-    def core_outcome(self, attempt: Attempt, how: How) -> None:
+    def core_outcome(self, attempt: Attempt, how: OutcomeKind) -> None:
         self.core.outcome(self.clock(), attempt, how)
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -18,7 +18,7 @@
 from tansykeel.edge.tasks import Attempt, Final, Held
 from tansykeel.emulator.scene import Scene
 from tansykeel.emulator.ways import Conn, GatewayEnd, Line, StoreEnd
-from tansykeel.interface import How, Word
+from tansykeel.interface import OutcomeKind, Word
 from tansykeel.protocol.frames import HEAD_BYTES, Hello, ListOf, Row, Share, TaskOf
 from tansykeel.settings.cluster import cluster_member_of
 from tansykeel.standin.behaviour import Work
@@ -198,7 +198,7 @@
         for conn in self.conns.values():
             if attempt in conn.waiting:
                 conn.waiting.remove(attempt)
-                self.engine.after(0, self.tell, self.life, self._outcome, attempt, How.CANCELLED)
+                self.engine.after(0, self.tell, self.life, self._outcome, attempt, OutcomeKind.CANCELLED)
 
     def cancel(self, attempt: Attempt) -> None:
         conn = attempt.connection
@@ -225,7 +225,7 @@
         anew = self.core.met(self.clock(), conn.known, hello.boot, hello.age)
         for attempt in unsent:
             if anew:  # granted without knowing of the start: as the program does, it is decided anew
-                self._outcome(attempt, How.MOOT)
+                self._outcome(attempt, OutcomeKind.MOOT)
             elif not attempt.over:
                 self._send(conn, attempt)
 
@@ -233,7 +233,7 @@
         if not conn.up and not conn.lost:
             conn.lost = True
             while conn.waiting:
-                self._outcome(conn.waiting.popleft(), How.NO_CONNECTION)
+                self._outcome(conn.waiting.popleft(), OutcomeKind.NO_CONNECTION)
 
     _connect_over = not_reached
 
@@ -245,17 +245,17 @@
             return self.not_reached(conn)
         conn.lost = True
         for attempt in list(conn.works):
-            self._outcome(attempt, How.RESET)
+            self._outcome(attempt, OutcomeKind.RESET)
         conn.works.clear()
 
     def told(
-        self, conn: Conn, attempt: Attempt, how: How, shard: int, report: tuple[float, ...], elsewhere: int
+        self, conn: Conn, attempt: Attempt, how: OutcomeKind, shard: int, report: tuple[float, ...], elsewhere: int
     ) -> None:
         if not conn.lost:
             conn.works.pop(attempt, None)
             self.core.outcome(self.clock(), attempt, how, shard=shard, report=report, elsewhere=elsewhere)
 
-    def _outcome(self, attempt: Attempt, how: How) -> None:
+    def _outcome(self, attempt: Attempt, how: OutcomeKind) -> None:
         self.core.outcome(self.clock(), attempt, how)
 
 
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -19,8 +19,8 @@
     Desk,
     Facts,
     HandOff,
-    How,
     Outcome,
+    OutcomeKind,
     RepeatSafety,
     Store,
     StoreState,
@@ -186,7 +186,7 @@
                 assert isinstance(outcome, Outcome)
             finally:
                 self.eye.leave(true, seat)
-            if outcome.over or outcome.how is How.DELIVERED:
+            if outcome.over or outcome.how is OutcomeKind.DELIVERED:
                 return
             if not outcome.never_ran:
                 task.may_have_run.append((store, sent))
--- a/tansykeel/emulator/stores.py
+++ b/tansykeel/emulator/stores.py
@@ -8,12 +8,12 @@
 from tansykeel.edge.tasks import Attempt
 from tansykeel.emulator.scene import Scene
 from tansykeel.emulator.ways import Conn
-from tansykeel.interface import How
+from tansykeel.interface import OutcomeKind
 from tansykeel.protocol.frames import Hello
 from tansykeel.standin.behaviour import Behaviour, Work
 from tansykeel.standin.model import NEVER
 
-HOWS = {how.value: how for how in How}
+HOWS = {how.value: how for how in OutcomeKind}
 
 
 class SimStore:
--- a/tansykeel/emulator/ways.py
+++ b/tansykeel/emulator/ways.py
@@ -9,7 +9,7 @@
 import numpy
 
 from tansykeel.edge.tasks import Attempt
-from tansykeel.interface import How, Store
+from tansykeel.interface import OutcomeKind, Store
 from tansykeel.protocol.frames import Hello, ListOf
 from tansykeel.settings.day import Fleet
 from tansykeel.standin.behaviour import Work
@@ -32,7 +32,7 @@
     def not_reached(self, conn: Conn) -> None: ...
     def reset(self, conn: Conn) -> None: ...
     def told(
-        self, conn: Conn, attempt: Attempt, how: How, shard: int, report: tuple[float, ...], elsewhere: int
+        self, conn: Conn, attempt: Attempt, how: OutcomeKind, shard: int, report: tuple[float, ...], elsewhere: int
     ) -> None: ...
     def listed(self, update: ListOf) -> None: ...
     def list_lost(self) -> None: ...
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -160,7 +160,7 @@
     may_have_run: list[tuple[Store, int]] = field(default_factory=list)
 
 
-class How(Enum):
+class OutcomeKind(Enum):
     DELIVERED = "delivered"
     ERROR = "error"
     FULL = "full"
@@ -173,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    how: How
+    how: OutcomeKind
     lag: int
     over: bool
     used: int | None = None
@@ -182,7 +182,7 @@
 
     @property
     def never_ran(self) -> bool:
-        return self.how in (How.FULL, How.NO_CONNECTION, How.MOOT)
+        return self.how in (OutcomeKind.FULL, OutcomeKind.NO_CONNECTION, OutcomeKind.MOOT)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tansykeel/platform/connection.py
+++ b/tansykeel/platform/connection.py
@@ -9,7 +9,7 @@
 from tansykeel.edge.tasks import Attempt
 from tansykeel.http1 import codec
 from tansykeel.http1.codec import AnswerReader, Malformed
-from tansykeel.interface import How
+from tansykeel.interface import OutcomeKind
 from tansykeel.platform.event_counts import StoreConnectionEnd
 from tansykeel.platform.intake import Wanted
 from tansykeel.transport.sockets import address_of, open_socket
@@ -61,7 +61,7 @@
     def malformed(self, attempt: Attempt, why: str) -> None:
         """An answer that can't be read came."""
 
-    def outcome(self, attempt: Attempt, how: How) -> None:
+    def outcome(self, attempt: Attempt, how: OutcomeKind) -> None:
         """The attempt ended without an answer."""
 
 
@@ -129,7 +129,7 @@
             return
         self.attempt = None
         self.close(StoreConnectionEnd.NOT_WRITTEN)
-        self.gateway.outcome(attempt, How.NO_CONNECTION)
+        self.gateway.outcome(attempt, OutcomeKind.NO_CONNECTION)
 
     def close(self, reason: StoreConnectionEnd) -> None:
         """Close the connection; an answer that is still owed is given up."""
@@ -199,9 +199,9 @@
         if self.has_answered and nothing_came and self.gateway.now() - self.sent_at < STALE_WITHIN:
             self.gateway.found_stale(self.idle_before_request)
         if request_was_written:
-            how = How.RESET
+            how = OutcomeKind.RESET
         elif self.has_answered:
-            how = How.MOOT  # it never ran, and on a connection used before that says nothing of the store
+            how = OutcomeKind.MOOT  # it never ran, and on a connection used before that says nothing of the store
         else:
-            how = How.NO_CONNECTION
+            how = OutcomeKind.NO_CONNECTION
         self.gateway.outcome(attempt, how)
--- a/tansykeel/platform/pool.py
+++ b/tansykeel/platform/pool.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from tansykeel.edge.tasks import Attempt
-from tansykeel.interface import How, Store, StoreState
+from tansykeel.interface import OutcomeKind, Store, StoreState
 from tansykeel.platform.connection import ConnectionGateway, StoreConnection
 from tansykeel.platform.event_counts import EventCounts, StoreConnectionEnd
 from tansykeel.platform.request_rules import Verdict
@@ -64,7 +64,7 @@
     def pressure(self) -> None:
         """No descriptor is left."""
 
-    def later_outcome(self, attempt: Attempt, how: How) -> None:
+    def later_outcome(self, attempt: Attempt, how: OutcomeKind) -> None:
         """Tell the core in the loop's next turn what became of an attempt."""
 
 
@@ -100,7 +100,7 @@
         it was taken back."""
         connection = attempt.connection
         if self._remove_waiting(attempt):
-            self.gateway.later_outcome(attempt, How.CANCELLED)
+            self.gateway.later_outcome(attempt, OutcomeKind.CANCELLED)
             return True
         if isinstance(connection, StoreConnection) and not connection.has_written(attempt):
             self._abandon(connection, attempt)
@@ -118,7 +118,7 @@
     def _abandon(self, connection: StoreConnection, attempt: Attempt) -> None:
         connection.attempt = None
         connection.close(StoreConnectionEnd.GIVEN_UP)
-        self.gateway.later_outcome(attempt, How.CANCELLED)
+        self.gateway.later_outcome(attempt, OutcomeKind.CANCELLED)
 
     def list_changed(self) -> None:
         """Guards against what was granted before a drain or a new start was heard of: it is decided anew."""
@@ -126,7 +126,7 @@
         if self.store.state is not StoreState.READY or restarted:
             obsolete, self.waiting = self.waiting, deque()
             for waiting in obsolete:
-                self.gateway.outcome(waiting.attempt, How.MOOT)
+                self.gateway.outcome(waiting.attempt, OutcomeKind.MOOT)
         address = self.gateway.address(self.store)
         moved = any(connection.address != address for connection in self.connections)
         if self.store.state is StoreState.GONE or moved:
@@ -221,7 +221,7 @@
             if retry and waiting.failed_connects < CONNECTS_PER_ATTEMPT:
                 self.waiting.appendleft(waiting)
             else:
-                self.gateway.outcome(waiting.attempt, How.NO_CONNECTION)
+                self.gateway.outcome(waiting.attempt, OutcomeKind.NO_CONNECTION)
             break
         if self.waiting:
             self.open()
@@ -258,7 +258,7 @@
         if self.gateway.violation(attempt):
             connection.idle_since = self.gateway.now() - MOST_COOL_DOWN
             self.idle.append(connection)
-            self.gateway.later_outcome(attempt, How.MOOT)
+            self.gateway.later_outcome(attempt, OutcomeKind.MOOT)
         else:
             connection.send(attempt, self.gateway.clock())
 
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -8,7 +8,7 @@
 from tansykeel.edge.core import Core
 from tansykeel.edge.tasks import Attempt
 from tansykeel.http1 import codec
-from tansykeel.interface import How, Store, StoreState
+from tansykeel.interface import OutcomeKind, Store, StoreState
 from tansykeel.platform.clients import Client, Clients
 from tansykeel.platform.event_counts import EventCounts, StoreConnectionEnd
 from tansykeel.platform.pool import COOL_DOWN, Pool
@@ -161,11 +161,11 @@
         """Call in the loop's next turn."""
         self.after(0, call)
 
-    def later_outcome(self, attempt: Attempt, how: How) -> None:
+    def later_outcome(self, attempt: Attempt, how: OutcomeKind) -> None:
         """Tell the core in the loop's next turn, as it may not be called back while it calls."""
         self.after(0, lambda: self.outcome(attempt, how))
 
-    def outcome(self, attempt: Attempt, how: How) -> None:
+    def outcome(self, attempt: Attempt, how: OutcomeKind) -> None:
         """Tell the core what became of an attempt."""
         self.counts.trace("outcome", id=attempt.held.id, number=attempt.number, how=how.value)
         self.core.outcome(self.clock(), attempt, how)
@@ -173,17 +173,17 @@
     def malformed(self, attempt: Attempt, why: str) -> None:
         """An answer came that can't be read: what was asked may have run."""
         self.note("spoilt answer", store=attempt.store.handle, why=why)
-        self.outcome(attempt, How.ERROR)
+        self.outcome(attempt, OutcomeKind.ERROR)
 
     def answered(self, attempt: Attempt, answer: codec.Answer) -> None:
         """Tell the core of a whole answer."""
         fields = answer.fields
         if answer.status == 200:
-            how = How.DELIVERED
+            how = OutcomeKind.DELIVERED
         elif answer.status in (503, 504) and fields.get(b"x-turned-away") == b"1":
-            how = How.FULL
+            how = OutcomeKind.FULL
         else:
-            how = How.ERROR
+            how = OutcomeKind.ERROR
         self.counts.trace("outcome", id=attempt.held.id, number=attempt.number, how=how.value)
         used = parse_figure(fields.get(b"x-meter"), -1)
         elsewhere = parse_figure(fields.get(b"x-delta"), 0)
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -13,7 +13,7 @@
 from tansykeel.brain.cold import BY_ASKED, Young
 from tansykeel.interface import (
     ColdRule,
-    How,
+    OutcomeKind,
     Volume,
 )
 
@@ -161,16 +161,16 @@
     for _ in range(2):
         sent = task(desk)
         node.sent[sent] = desk.now
-        node.learn(sent, outcome(How.NO_CONNECTION))
+        node.learn(sent, outcome(OutcomeKind.NO_CONNECTION))
     assert node.young.credit == 0 and node.young.at == desk.now
 
 
 @pytest.mark.parametrize(
     "hows, room",
     [
-        ([How.NO_CONNECTION, How.NO_CONNECTION], False),
-        ([How.NO_CONNECTION], True),
-        ([How.RESET] * 2, True),
+        ([OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION], False),
+        ([OutcomeKind.NO_CONNECTION], True),
+        ([OutcomeKind.RESET] * 2, True),
     ],
 )
 def test_only_a_store_that_stays_out_of_reach_counts_as_just_started(hows, room):
@@ -182,7 +182,7 @@
         node.sent[sent] = desk.now
         node.learn(sent, outcome(how))
     assert node.young.room(at, desk.now, 4.1, 0) is room
-    assert node.usable() is (hows[0] is How.RESET)
+    assert node.usable() is (hows[0] is OutcomeKind.RESET)
 
 
 @pytest.mark.parametrize("times, warm", [(1.5, True), (5.0, False)])
@@ -192,14 +192,14 @@
     brain, desk = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
     heard(node, 100, 100, 100)
-    for how in (How.NO_CONNECTION, How.NO_CONNECTION):
+    for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
         sent = task(desk)
         node.sent[sent] = desk.now
         node.learn(sent, outcome(how))
     desk.now += 10_000
     sent = task(desk)
     node.sent[sent] = desk.now
-    node.learn(sent, outcome(How.DELIVERED, lag=int(100 * times)))
+    node.learn(sent, outcome(OutcomeKind.DELIVERED, lag=int(100 * times)))
     assert node.young.room(at, desk.now, 1e6, node.proof) is warm
 
 
@@ -208,7 +208,7 @@
     at = store()
     brain, desk = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node, failed = brain.nodes[at], desk.now
-    for how in (How.NO_CONNECTION, How.NO_CONNECTION):
+    for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
         sent = task(desk)
         node.sent[sent] = desk.now
         node.learn(sent, outcome(how))
@@ -216,7 +216,7 @@
     desk.now += 10_000
     sent = task(desk)
     node.sent[sent] = desk.now
-    node.learn(sent, outcome(How.DELIVERED))
+    node.learn(sent, outcome(OutcomeKind.DELIVERED))
     assert not node.young.room(at, failed + 59_999, 1e6, node.proof)  # a start may still be told
     assert node.young.room(at, failed + 60_000, 1e6, node.proof)
     at.started = failed - 100  # it was told
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -12,9 +12,9 @@
     Allowed,
     BudgetRule,
     HandOff,
-    How,
     Nack,
     Outcome,
+    OutcomeKind,
     Volume,
     Wait,
     WakeReason,
@@ -68,7 +68,7 @@
     brain, _ = scheduler([])
     state = brain.state_of(Volume("v", PLAN, hosts))
     for here, there in told:
-        state.tell(here, Outcome(How.DELIVERED, 100, True, elsewhere=there), PLAN, state.told_at)
+        state.tell(here, Outcome(OutcomeKind.DELIVERED, 100, True, elsewhere=there), PLAN, state.told_at)
     assert state.part(2.0) == pytest.approx(part)
 
 
@@ -78,7 +78,7 @@
     brain, _ = scheduler([])
     state = brain.state_of(Volume("v", PLAN, 10.0))
     for _ in range(1, 40):
-        state.tell(2.0, Outcome(How.DELIVERED, 100, True, used=used), PLAN, state.told_at + 10_000)
+        state.tell(2.0, Outcome(OutcomeKind.DELIVERED, 100, True, used=used), PLAN, state.told_at + 10_000)
     assert state.part(0.0) == pytest.approx(part)
 
 
@@ -205,7 +205,7 @@
     run = brain.serve(task(desk, units=8.0, volume=volume))
     turn(run, desk, brain)
     assert state.units == 92.0
-    run.send(outcome(How.ERROR))
+    run.send(outcome(OutcomeKind.ERROR))
     run.send(WakeReason.GRANTED)
     assert state.units == 92.0
 
--- a/tests/brain/test_rates.py
+++ b/tests/brain/test_rates.py
@@ -12,7 +12,7 @@
 from tansykeel.brain.rates import left
 from tansykeel.interface import (
     Allowed,
-    How,
+    OutcomeKind,
     StoreState,
     Volume,
     Wait,
@@ -27,7 +27,7 @@
         node = brain.nodes[stores[-1]]
         sent = task(desk)
         node.sent[sent] = desk.now
-        node.learn(sent, outcome(How.DELIVERED))
+        node.learn(sent, outcome(OutcomeKind.DELIVERED))
         node.out = 0
         stores[-1].state = StoreState.GONE
         stores.append(store(shard=0, started=desk.now))
@@ -49,11 +49,11 @@
         desk.now += 100
         node.round()
     assert state.units == 0.0 and list(node.sent) == [first, second]
-    node.learn(second, outcome(How.DELIVERED, 100))
+    node.learn(second, outcome(OutcomeKind.DELIVERED, 100))
     rate, lags = node.rate, list(node.lags)
     desk.now += 5_000
     assert node.queueing() == 0.0  # the node is not silent: it answered what was sent later
-    node.learn(first, outcome(How.TIMED_OUT, 5_100))
+    node.learn(first, outcome(OutcomeKind.TIMED_OUT, 5_100))
     assert (node.rate, list(node.lags), node.out) == (rate, lags, 0)
     assert desk.now < brain.waits.lost <= desk.now + 10 * 10_000
 
@@ -67,7 +67,7 @@
     desk.now += 100
     node.round()
     brain.waits.lost = desk.now + lost
-    node.learn(sent, outcome(How.TIMED_OUT, 5_000))
+    node.learn(sent, outcome(OutcomeKind.TIMED_OUT, 5_000))
     assert len(node.lags) == samples
 
 
@@ -154,7 +154,7 @@
     node.sent[sent] = desk.now
     desk.now += 5_000
     assert node.queueing() == 5_000 and node.gap() < 0
-    node.learn(sent, outcome(How.ERROR))
+    node.learn(sent, outcome(OutcomeKind.ERROR))
     assert node.queueing() == 0
 
 
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -13,9 +13,9 @@
     BudgetRule,
     DeduplicationScope,
     HandOff,
-    How,
     Listing,
     Nack,
+    OutcomeKind,
     StoreState,
     Wait,
     WakeReason,
@@ -29,7 +29,7 @@
     want = turn(run, desk, brain)
     assert isinstance(want, HandOff) and want.store is at
     with pytest.raises(StopIteration):
-        run.send(outcome(How.DELIVERED))
+        run.send(outcome(OutcomeKind.DELIVERED))
     node = brain.nodes[at]
     assert (node.out, node.tokens_out, node.held) == (0, 0.0, 0)
 
@@ -37,13 +37,13 @@
 @pytest.mark.parametrize(
     "how, kind, category",
     [
-        (How.ERROR, BreakOff, AT_MOST_ONCE),
-        (How.TIMED_OUT, BreakOff, AT_MOST_ONCE),
-        (How.RESET, BreakOff, AT_MOST_ONCE),
-        (How.CANCELLED, BreakOff, AT_MOST_ONCE),
-        (How.FULL, Wait, AT_MOST_ONCE),
-        (How.NO_CONNECTION, Wait, AT_MOST_ONCE),
-        (How.ERROR, Wait, IDEMPOTENT),
+        (OutcomeKind.ERROR, BreakOff, AT_MOST_ONCE),
+        (OutcomeKind.TIMED_OUT, BreakOff, AT_MOST_ONCE),
+        (OutcomeKind.RESET, BreakOff, AT_MOST_ONCE),
+        (OutcomeKind.CANCELLED, BreakOff, AT_MOST_ONCE),
+        (OutcomeKind.FULL, Wait, AT_MOST_ONCE),
+        (OutcomeKind.NO_CONNECTION, Wait, AT_MOST_ONCE),
+        (OutcomeKind.ERROR, Wait, IDEMPOTENT),
     ],
 )
 def test_after_an_outcome_only_what_is_legal_follows(how, kind, category):
@@ -140,7 +140,7 @@
     desk.now += 60_000
     run, node = brain.serve(task(desk)), next(iter(brain.nodes.values()))
     turn(run, desk, brain)
-    assert isinstance(run.send(outcome(How.ERROR)), Wait)
+    assert isinstance(run.send(outcome(OutcomeKind.ERROR)), Wait)
     brain.extras.extras.append(desk.now)
     desk.now += 200
     node.round()
@@ -158,7 +158,7 @@
     assert isinstance(next(other), Wait)
     desk.woken.clear()
     with pytest.raises(StopIteration):
-        run.send(outcome(How.TIMED_OUT, over=True))
+        run.send(outcome(OutcomeKind.TIMED_OUT, over=True))
     assert desk.woken == [(second, WakeReason.RECHECK)]
     assert other.send(WakeReason.RECHECK) == Wait(desk.now + 700)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,9 +13,9 @@
     DeduplicationScope,
     EvenParts,
     Facts,
-    How,
     Listing,
     Outcome,
+    OutcomeKind,
     Plan,
     RepeatSafety,
     Sizes,
@@ -109,8 +109,8 @@
     )
 
 
-def outcome(how: How, lag: int = 100, over: bool | None = None) -> Outcome:
-    return Outcome(how, lag, how is How.DELIVERED if over is None else over)
+def outcome(how: OutcomeKind, lag: int = 100, over: bool | None = None) -> Outcome:
+    return Outcome(how, lag, how is OutcomeKind.DELIVERED if over is None else over)
 
 
 def heard(node, *lags):
