--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -29,7 +29,7 @@
 HOWS = {
     100: OutcomeKind.DELIVERED,
     301: OutcomeKind.ERROR,
-    302: OutcomeKind.FULL,
+    302: OutcomeKind.QUEUE_FULL,
     303: OutcomeKind.TIMED_OUT,
     304: OutcomeKind.NO_CONNECTION,
     305: OutcomeKind.RESET,
--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -284,7 +284,7 @@
             self.waits.put(self.store, now, self.queueing())
             if (gap := self.gap()) < 0:
                 self.fall(min(FALL * -gap, DEEPEST), min(outcome.lag, self.tightest) // 2)
-        elif outcome.how is OutcomeKind.FULL:
+        elif outcome.how is OutcomeKind.QUEUE_FULL:
             self.troubles += 1
             self.fall(FALL, ROUND)
             self.resting = now + ROUND * 5 * min(self.troubles, 10)
--- a/tansykeel/edge/stores.py
+++ b/tansykeel/edge/stores.py
@@ -23,7 +23,13 @@
 
 HOWS = {
     how.value: how
-    for how in (OutcomeKind.DELIVERED, OutcomeKind.ERROR, OutcomeKind.FULL, OutcomeKind.MOOT, OutcomeKind.CANCELLED)
+    for how in (
+        OutcomeKind.DELIVERED,
+        OutcomeKind.ERROR,
+        OutcomeKind.QUEUE_FULL,
+        OutcomeKind.MOOT,
+        OutcomeKind.CANCELLED,
+    )
 }
 
 
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -163,7 +163,7 @@
 class OutcomeKind(Enum):
     DELIVERED = "delivered"
     ERROR = "error"
-    FULL = "full"
+    QUEUE_FULL = "full"
     TIMED_OUT = "timed out"
     NO_CONNECTION = "no connection"
     RESET = "reset"
@@ -182,7 +182,7 @@
 
     @property
     def never_ran(self) -> bool:
-        return self.how in (OutcomeKind.FULL, OutcomeKind.NO_CONNECTION, OutcomeKind.MOOT)
+        return self.how in (OutcomeKind.QUEUE_FULL, OutcomeKind.NO_CONNECTION, OutcomeKind.MOOT)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -181,7 +181,7 @@
         if answer.status == 200:
             how = OutcomeKind.DELIVERED
         elif answer.status in (503, 504) and fields.get(b"x-turned-away") == b"1":
-            how = OutcomeKind.FULL
+            how = OutcomeKind.QUEUE_FULL
         else:
             how = OutcomeKind.ERROR
         self.counts.trace("outcome", id=attempt.held.id, number=attempt.number, how=how.value)
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -41,7 +41,7 @@
         (OutcomeKind.TIMED_OUT, BreakOff, AT_MOST_ONCE),
         (OutcomeKind.RESET, BreakOff, AT_MOST_ONCE),
         (OutcomeKind.CANCELLED, BreakOff, AT_MOST_ONCE),
-        (OutcomeKind.FULL, Wait, AT_MOST_ONCE),
+        (OutcomeKind.QUEUE_FULL, Wait, AT_MOST_ONCE),
         (OutcomeKind.NO_CONNECTION, Wait, AT_MOST_ONCE),
         (OutcomeKind.ERROR, Wait, IDEMPOTENT),
     ],
