--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -34,7 +34,7 @@
     304: OutcomeKind.NO_CONNECTION,
     305: OutcomeKind.RESET,
     306: OutcomeKind.CANCELLED,
-    307: OutcomeKind.MOOT,
+    307: OutcomeKind.NOT_EXECUTED,
 }
 
 
--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -266,7 +266,7 @@
             self.desk.alarm(now + self.tightest, lambda: self.release(cost))
         else:
             self.heard, self.out, self.tokens_out = now, self.out - 1, self.tokens_out - cost
-        if outcome.how not in (OutcomeKind.MOOT, OutcomeKind.CANCELLED):
+        if outcome.how not in (OutcomeKind.NOT_EXECUTED, OutcomeKind.CANCELLED):
             self.ends.append(outcome.how is OutcomeKind.DELIVERED)
         if (
             outcome.how is OutcomeKind.DELIVERED
--- a/tansykeel/edge/stores.py
+++ b/tansykeel/edge/stores.py
@@ -27,7 +27,7 @@
         OutcomeKind.DELIVERED,
         OutcomeKind.ERROR,
         OutcomeKind.QUEUE_FULL,
-        OutcomeKind.MOOT,
+        OutcomeKind.NOT_EXECUTED,
         OutcomeKind.CANCELLED,
     )
 }
@@ -167,7 +167,7 @@
             # together it would push it over. It was not sent, and the module decides anew.
             unsent, self.waiting = list(self.waiting), deque()
             for attempt in unsent:
-                self.stores.core_outcome(attempt, OutcomeKind.MOOT)
+                self.stores.core_outcome(attempt, OutcomeKind.NOT_EXECUTED)
         while self.waiting and len(connection.out) < self.stores.gateway.streams_per_connection:
             attempt = self.waiting.popleft()
             if not attempt.over:
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -225,7 +225,7 @@
         anew = self.core.met(self.clock(), conn.known, hello.boot, hello.age)
         for attempt in unsent:
             if anew:  # granted without knowing of the start: as the program does, it is decided anew
-                self._outcome(attempt, OutcomeKind.MOOT)
+                self._outcome(attempt, OutcomeKind.NOT_EXECUTED)
             elif not attempt.over:
                 self._send(conn, attempt)
 
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -168,7 +168,7 @@
     NO_CONNECTION = "no connection"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_EXECUTED = "moot"
 
 
 @dataclass(frozen=True, slots=True)
@@ -182,7 +182,7 @@
 
     @property
     def never_ran(self) -> bool:
-        return self.how in (OutcomeKind.QUEUE_FULL, OutcomeKind.NO_CONNECTION, OutcomeKind.MOOT)
+        return self.how in (OutcomeKind.QUEUE_FULL, OutcomeKind.NO_CONNECTION, OutcomeKind.NOT_EXECUTED)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tansykeel/platform/connection.py
+++ b/tansykeel/platform/connection.py
@@ -201,7 +201,9 @@
         if request_was_written:
             how = OutcomeKind.RESET
         elif self.has_answered:
-            how = OutcomeKind.MOOT  # it never ran, and on a connection used before that says nothing of the store
+            how = (
+                OutcomeKind.NOT_EXECUTED
+            )  # it never ran, and on a connection used before that says nothing of the store
         else:
             how = OutcomeKind.NO_CONNECTION
         self.gateway.outcome(attempt, how)
--- a/tansykeel/platform/pool.py
+++ b/tansykeel/platform/pool.py
@@ -126,7 +126,7 @@
         if self.store.state is not StoreState.READY or restarted:
             obsolete, self.waiting = self.waiting, deque()
             for waiting in obsolete:
-                self.gateway.outcome(waiting.attempt, OutcomeKind.MOOT)
+                self.gateway.outcome(waiting.attempt, OutcomeKind.NOT_EXECUTED)
         address = self.gateway.address(self.store)
         moved = any(connection.address != address for connection in self.connections)
         if self.store.state is StoreState.GONE or moved:
@@ -258,7 +258,7 @@
         if self.gateway.violation(attempt):
             connection.idle_since = self.gateway.now() - MOST_COOL_DOWN
             self.idle.append(connection)
-            self.gateway.later_outcome(attempt, OutcomeKind.MOOT)
+            self.gateway.later_outcome(attempt, OutcomeKind.NOT_EXECUTED)
         else:
             connection.send(attempt, self.gateway.clock())
 
