--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -14,6 +14,7 @@
     Nack,
     Outcome,
     OutcomeKind,
+    PeerMessage,
     RepeatSafety,
     Store,
     StoreState,
@@ -22,7 +23,6 @@
     Wait,
     WakeReason,
     Want,
-    Word,
 )
 from tansykeel.runner import Run
 
@@ -43,7 +43,7 @@
         ready = [store for store in stores if store.state is StoreState.READY]
         self.by_shard = {store.shard: store for store in sorted(ready, key=lambda s: s.started)}
 
-    def heard(self, peer: int, word: Word) -> None:
+    def heard(self, peer: int, word: PeerMessage) -> None:
         """Baselines keep to what is theirs: they neither ask nor give."""
 
     def list_failed(self) -> None:
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -13,11 +13,11 @@
     Facts,
     Outcome,
     OutcomeKind,
+    PeerMessage,
     Store,
     StoreState,
     Task,
     Volume,
-    Word,
 )
 from tansykeel.runner import Runner
 from tansykeel.settings import given
@@ -129,7 +129,7 @@
             raise wire.Malformed(f"message of instance {event.sender}: {error}") from error
         volume = self.volumes.get(handle) if handle is not None else None
         if volume is not None or handle is None:  # else no task of it has come here: nothing to ask or give
-            self.brain.heard(event.sender, Word(volume, units, gift))
+            self.brain.heard(event.sender, PeerMessage(volume, units, gift))
         self.runner.settle()
 
     def dropped(self, event: wire.Dropped) -> None:
@@ -158,7 +158,7 @@
     def watch(self) -> None:
         self.outbox.watch(self.who, True)
 
-    def tell(self, peer: int | None, word: Word) -> None:
+    def tell(self, peer: int | None, word: PeerMessage) -> None:
         whom = wire.EVERYONE if peer is None else peer
         volume = word.volume.handle if word.volume else None
         self.outbox.tell(self.who, whom, words.write(volume, word.units, word.gift))
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -15,6 +15,7 @@
     Nack,
     Outcome,
     OutcomeKind,
+    PeerMessage,
     RepeatSafety,
     Store,
     StoreState,
@@ -23,7 +24,6 @@
     Wait,
     WakeReason,
     Want,
-    Word,
 )
 
 from .cold import SECOND, TOLD, Young
@@ -43,7 +43,7 @@
         self.facts, self.desk, self.chance, self.born = facts, desk, random.Random(seed), desk.now
         self.new: bool | None = None  # whether all gateways are, where another has said so
         if facts.allowed.peers:
-            desk.alarm(desk.now, lambda: desk.tell(None, Word(None, 0.0, False)))
+            desk.alarm(desk.now, lambda: desk.tell(None, PeerMessage(None, 0.0, False)))
         self.tightest = min(category.soft_limit for category in facts.categories)
         self.least, self.usual = max(facts.sizes.largest, 1.0), max(facts.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
@@ -250,16 +250,16 @@
                 some, state.all_due = [None], now + ALL
             for peer in some:
                 each = state.wish / (state.hosts - 1 if peer is None else len(some))
-                self.desk.tell(peer, Word(volume, each, False))
+                self.desk.tell(peer, PeerMessage(volume, each, False))
         return max(state.asked + ASK - now, 0)
 
-    def heard(self, peer: int, word: Word) -> None:
+    def heard(self, peer: int, word: PeerMessage) -> None:
         """Another gateway gives units, asks for some (half at most; none where no task came) or greets."""
         if word.volume is None:
             if not (long := self.desk.now >= self.born + NEW):
                 self.new = self.new is not False and not word.units
             if not word.gift:
-                self.desk.tell(peer, Word(None, float(long), True))
+                self.desk.tell(peer, PeerMessage(None, float(long), True))
         elif (state := word.volume.state) is not None:
             state.fill(self.desk.now, word.units if word.gift else 0.0)
             gift = min(word.units, max(state.units, 0.0) / 2)
@@ -269,7 +269,7 @@
                     self.desk.wake(task, WakeReason.RECHECK)
             elif gift >= 1 or peer not in state.peers:
                 state.units -= gift
-                self.desk.tell(peer, Word(word.volume, gift, True))
+                self.desk.tell(peer, PeerMessage(word.volume, gift, True))
             state.peers[peer] = None
 
     def may_hand_off(self, task: Task) -> bool:
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -32,7 +32,19 @@
     UpdateOf,
     Wire,
 )
-from tansykeel.interface import BreakOff, Facts, Nack, Outcome, OutcomeKind, Parts, Store, StoreState, Task, Want, Word
+from tansykeel.interface import (
+    BreakOff,
+    Facts,
+    Nack,
+    Outcome,
+    OutcomeKind,
+    Parts,
+    PeerMessage,
+    Store,
+    StoreState,
+    Task,
+    Want,
+)
 from tansykeel.runner import Runner
 
 LEAVING = {StoreState.READY: 0, StoreState.DRAINING: 1, StoreState.GONE: 2}  # a store's way out, in order
@@ -202,7 +214,7 @@
         self.brain.list_failed()
         self.runner.settle()
 
-    def heard(self, now: int, sender: int, word: Word) -> None:
+    def heard(self, now: int, sender: int, word: PeerMessage) -> None:
         """Another gateway's word."""
         self.runner.move(now)
         self.brain.heard(sender, word)
@@ -255,7 +267,7 @@
     def watch(self) -> None:
         self.wire.ask_list()
 
-    def tell(self, peer: int | None, word: Word) -> None:
+    def tell(self, peer: int | None, word: PeerMessage) -> None:
         self.wire.tell_peer(peer, word)
 
     def note(self, text: str) -> None:
--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from tansykeel.edge.tasks import MICROS, MS, Asked, Attempt, Bounds, Final
-from tansykeel.interface import Facts, Plan, Task, Volume, Word
+from tansykeel.interface import Facts, PeerMessage, Plan, Task, Volume
 from tansykeel.protocol.frames import Answer, HandOffOf, Row, Share, TaskOf
 from tansykeel.settings.records import Gateway, Settings
 
@@ -56,12 +56,12 @@
         )
         return Asked(task, request.body, request.size, fault)
 
-    def word_of(self, share: Share) -> Word | None:
+    def word_of(self, share: Share) -> PeerMessage | None:
         """Another gateway's word; None for one on a volume that is not in the settings here: not acted on."""
         volume = self.volumes.get(share.volume) if share.volume is not None else None
-        return Word(volume, share.units, share.gift) if volume is not None or share.volume is None else None
+        return PeerMessage(volume, share.units, share.gift) if volume is not None or share.volume is None else None
 
-    def share_of(self, word: Word) -> Share:
+    def share_of(self, word: PeerMessage) -> Share:
         return Share(self.facts.me, word.volume.handle if word.volume else None, word.units, word.gift)
 
 
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -25,7 +25,7 @@
 from tansykeel.edge.stores import Stores
 from tansykeel.edge.tasks import DELIVERED, Attempt, Decisions, Final, Held, StillHeld
 from tansykeel.edge.trace import Trace
-from tansykeel.interface import Facts, Parts, Word
+from tansykeel.interface import Facts, Parts, PeerMessage
 from tansykeel.maintenance.messages import CODEC, Figures, MaintenanceMessage, MessageError
 from tansykeel.maintenance.state import State
 from tansykeel.protocol.codec import Codec, Event, Piece
@@ -245,7 +245,7 @@
         if self.listing:
             self.listing.ask()
 
-    def tell_peer(self, peer: int | None, word: Word) -> None:
+    def tell_peer(self, peer: int | None, word: PeerMessage) -> None:
         if self.peers:
             self.peers.tell(peer, Urgency.HINT, self.native.share_of(word))
 
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -18,7 +18,7 @@
 from tansykeel.edge.tasks import Attempt, Final, Held
 from tansykeel.emulator.scene import Scene
 from tansykeel.emulator.ways import Conn, GatewayEnd, Line, StoreEnd
-from tansykeel.interface import OutcomeKind, Word
+from tansykeel.interface import OutcomeKind, PeerMessage
 from tansykeel.protocol.frames import HEAD_BYTES, Hello, ListOf, Row, Share, TaskOf
 from tansykeel.settings.cluster import cluster_member_of
 from tansykeel.standin.behaviour import Work
@@ -170,7 +170,7 @@
         self.asked = True
         self.engine.after(self.scene.ways.to_list(), self.scene.list.ask, self, self.life)
 
-    def tell_peer(self, peer: int | None, word: Word) -> None:
+    def tell_peer(self, peer: int | None, word: PeerMessage) -> None:
         share = self.native.share_of(word)
         for other in self.fleet if peer is None else [self.fleet[peer]]:
             if other.alive and other is not self:
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -19,7 +19,7 @@
 from tansykeel.edge.tasks import DELIVERED, NACKED, Attempt, Bounds, Final, Held
 from tansykeel.http1 import codec
 from tansykeel.http1.codec import Malformed, Request
-from tansykeel.interface import Word
+from tansykeel.interface import PeerMessage
 from tansykeel.platform.clients import Client, Clients
 from tansykeel.platform.config import READ_AGAIN_AFTER, READ_WITHIN, Config, Illegal, Unreadable, read, read_at_start
 from tansykeel.platform.discovery import Discovery, RowReader
@@ -317,7 +317,7 @@
         if self._discovery:  # not yet there while the core is made
             self._discovery.ask()
 
-    def tell_peer(self, peer: int | None, word: Word) -> None:
+    def tell_peer(self, peer: int | None, word: PeerMessage) -> None:
         pass  # the platform has no way between gateways that its settings allow
 
     def note(self, event: str, **fields: Any) -> None:
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -15,11 +15,11 @@
     Nack,
     Outcome,
     Parts,
+    PeerMessage,
     Task,
     Wait,
     WakeReason,
     Want,
-    Word,
 )
 
 Run = Generator[Want, "WakeReason | Outcome | None", None]
@@ -83,7 +83,7 @@
     def watch(self) -> None:
         self._door.watch()
 
-    def tell(self, peer: int | None, word: Word) -> None:
+    def tell(self, peer: int | None, word: PeerMessage) -> None:
         self._door.tell(peer, word)
 
     def note(self, text: str) -> None:
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -15,10 +15,10 @@
     Nack,
     Outcome,
     OutcomeKind,
+    PeerMessage,
     Volume,
     Wait,
     WakeReason,
-    Word,
 )
 
 
@@ -126,14 +126,14 @@
 def test_no_part_of_a_limit_grows_past_its_depth_by_gifts():
     made, volumes, states = of_gateways(0, 1)
     states[0].units = states[0].depth - 1
-    made[0][0].heard(1, Word(volumes[0], 5.0, True))
+    made[0][0].heard(1, PeerMessage(volumes[0], 5.0, True))
     assert states[0].units == states[0].depth
 
 
 def test_an_ask_for_a_volume_that_no_task_here_named_gets_nothing():
     """Guards against a gateway that gives of a part that it does not have."""
     brain, desk = scheduler([store()], allowed=TALK)
-    brain.heard(1, Word(Volume("v", LIMITED, 2.0), 5.0, False))
+    brain.heard(1, PeerMessage(Volume("v", LIMITED, 2.0), 5.0, False))
     assert desk.told == []
 
 
@@ -144,7 +144,7 @@
     assert isinstance(next(run), Nack) and desk.told == []
 
 
-GREETING, YOUNG, OLD = Word(None, 0.0, False), Word(None, 0.0, True), Word(None, 1.0, True)
+GREETING, YOUNG, OLD = PeerMessage(None, 0.0, False), PeerMessage(None, 0.0, True), PeerMessage(None, 1.0, True)
 
 
 @pytest.mark.parametrize(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,6 +16,7 @@
     Listing,
     Outcome,
     OutcomeKind,
+    PeerMessage,
     Plan,
     RepeatSafety,
     Sizes,
@@ -25,7 +26,6 @@
     Volume,
     Wait,
     WakeReason,
-    Word,
 )
 
 IDEMPOTENT = Category(
@@ -45,7 +45,7 @@
         self.alarms: list[tuple[int, Callable[[], None]]] = []
         self.watches = 0
         self.notes: list[str] = []
-        self.told: list[tuple[int | None, Word]] = []
+        self.told: list[tuple[int | None, PeerMessage]] = []
 
     def wake(self, task: Task, signal: WakeReason) -> None:
         self.woken.append((task, signal))
@@ -56,7 +56,7 @@
     def watch(self) -> None:
         self.watches += 1
 
-    def tell(self, peer: int | None, word: Word) -> None:
+    def tell(self, peer: int | None, word: PeerMessage) -> None:
         self.told.append((peer, word))
 
     def note(self, text: str) -> None:
