--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -19,10 +19,10 @@
     Store,
     StoreState,
     Task,
+    TaskAction,
     Volume,
     Wait,
     WakeReason,
-    Want,
 )
 from tansykeel.runner import Run
 
@@ -70,7 +70,7 @@
                 task.may_have_run.append((store, sent))
         yield self.final(task)
 
-    def final(self, task: Task) -> Want:
+    def final(self, task: Task) -> TaskAction:
         repeat, scope = task.category.repeat, task.category.scope
         sure = (
             repeat is RepeatSafety.IDEMPOTENT or repeat is RepeatSafety.DEDUPLICATED and scope is DeduplicationScope.ALL
@@ -88,7 +88,7 @@
         self.out: dict[Store, int] = {}
         self.lines: dict[Store, deque[Task]] = {}
 
-    def room(self, store: Store, task: Task) -> Generator[Want, WakeReason | Outcome | None, bool]:
+    def room(self, store: Store, task: Task) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
         """Wait until the store has room; False when the task's time is up."""
         line = self.lines.setdefault(store, deque())
         if self.out.get(store, 0) < self.WINDOW and not line:
@@ -162,7 +162,7 @@
         self.rings: dict[Store, dict[Volume, deque[Task]]] = {}
         self.deficits: dict[tuple[Store, Volume], float] = {}
 
-    def room(self, store: Store, task: Task) -> Generator[Want, WakeReason | Outcome | None, bool]:
+    def room(self, store: Store, task: Task) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
         ring = self.rings.setdefault(store, {})
         if self.out.get(store, 0) < self.WINDOW and not ring:
             return True
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -20,10 +20,10 @@
     Store,
     StoreState,
     Task,
+    TaskAction,
     Volume,
     Wait,
     WakeReason,
-    Want,
 )
 
 from .cold import SECOND, TOLD, Young
@@ -121,7 +121,7 @@
                 return node
         return min(self.ranked, key=lambda n: (n.held_tokens + n.tokens_out) / n.rate, default=None)
 
-    def serve(self, task: Task) -> Generator[Want, WakeReason | Outcome | None, None]:
+    def serve(self, task: Task) -> Generator[TaskAction, WakeReason | Outcome | None, None]:
         """The ordinary path: find the node, wait for the turn, hand off, judge the outcome."""
         now, state, aim = self.desk.now, self.state_of(task.volume), self.aim_of(task)
         if late := aim <= now:  # worth little any more: it goes only where nothing waits
@@ -286,7 +286,7 @@
         near = store.zone == first.zone if scope is DeduplicationScope.ZONE else store.shard == first.shard
         return (scope is DeduplicationScope.ALL or near) and self.desk.now < sent + task.category.window
 
-    def final(self, task: Task) -> Want:
+    def final(self, task: Task) -> TaskAction:
         """The answer of a task given up on: a nack wherever its promise holds."""
         allowed, of = self.facts.allowed, task.category
         sure = of.repeat is RepeatSafety.IDEMPOTENT or (
@@ -295,7 +295,7 @@
         come_back = min(self.tightest, allowed.longest_come_back) if allowed.come_back else 0
         return BreakOff() if task.may_have_run and not sure else Nack(come_back)
 
-    def turn_on_key(self, task: Task, aim: int) -> Generator[Want, WakeReason | Outcome | None, bool]:
+    def turn_on_key(self, task: Task, aim: int) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
         """Wait until the task is first on its key and the key has rested; False if that comes too late."""
         line = self.keys.setdefault(task.key, KeyLine(self.born + self.facts.key_rest))  # of an earlier life
         line.tasks.append(task)
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -43,7 +43,7 @@
     Store,
     StoreState,
     Task,
-    Want,
+    TaskAction,
 )
 from tansykeel.runner import Runner
 
@@ -334,7 +334,7 @@
                 self.wire.cancel(attempt)
         self._let_go(held)
 
-    def _final(self, held: Held, want: Want, reason: str) -> None:
+    def _final(self, held: Held, want: TaskAction, reason: str) -> None:
         if held.answered:
             return
         if isinstance(want, Nack):
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -226,7 +226,7 @@
     pass
 
 
-Want = HandOff | Wait | Nack | BreakOff
+TaskAction = HandOff | Wait | Nack | BreakOff
 
 
 class Parts(Protocol):
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -17,12 +17,12 @@
     Parts,
     PeerMessage,
     Task,
+    TaskAction,
     Wait,
     WakeReason,
-    Want,
 )
 
-Run = Generator[Want, "WakeReason | Outcome | None", None]
+Run = Generator[TaskAction, "WakeReason | Outcome | None", None]
 
 
 class Runner:
