--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -258,23 +258,23 @@
 
     def learn(self, task: Task, outcome: Outcome) -> None:
         now, cost, sent = self.desk.now, cost_of(task), self.sent.pop(task)
-        long = outcome.how is OutcomeKind.TIMED_OUT and outcome.lag >= PATIENCE * self.lag(task.units)
+        long = outcome.kind is OutcomeKind.TIMED_OUT and outcome.lag >= PATIENCE * self.lag(task.units)
         lost = long and sent < self.proof  # guards against short patience and slow nodes, which look like it
         self.changes, self.waits.lost = self.changes + 1, now + LOSING if lost else self.waits.lost
-        if outcome.how is OutcomeKind.TIMED_OUT and not lost:
+        if outcome.kind is OutcomeKind.TIMED_OUT and not lost:
             # Guards against work that goes on at the store after its client left: it stays on the books.
             self.desk.alarm(now + self.tightest, lambda: self.release(cost))
         else:
             self.heard, self.out, self.tokens_out = now, self.out - 1, self.tokens_out - cost
-        if outcome.how not in (OutcomeKind.NOT_EXECUTED, OutcomeKind.CANCELLED):
-            self.ends.append(outcome.how is OutcomeKind.DELIVERED)
+        if outcome.kind not in (OutcomeKind.NOT_EXECUTED, OutcomeKind.CANCELLED):
+            self.ends.append(outcome.kind is OutcomeKind.DELIVERED)
         if (
-            outcome.how is OutcomeKind.DELIVERED
-            or outcome.how is OutcomeKind.TIMED_OUT
+            outcome.kind is OutcomeKind.DELIVERED
+            or outcome.kind is OutcomeKind.TIMED_OUT
             and now >= self.waits.lost
         ):
             self.proof, self.troubles = (
-                max(self.proof, sent if outcome.how is OutcomeKind.DELIVERED else 0),
+                max(self.proof, sent if outcome.kind is OutcomeKind.DELIVERED else 0),
                 0,
             )
             # A cold store takes several times as long: who answers as quickly as before was only cut off.
@@ -284,11 +284,11 @@
             self.waits.put(self.store, now, self.queueing())
             if (gap := self.gap()) < 0:
                 self.fall(min(FALL * -gap, DEEPEST), min(outcome.lag, self.tightest) // 2)
-        elif outcome.how is OutcomeKind.QUEUE_FULL:
+        elif outcome.kind is OutcomeKind.QUEUE_FULL:
             self.troubles += 1
             self.fall(FALL, ROUND)
             self.resting = now + ROUND * 5 * min(self.troubles, 10)
-        elif outcome.how is OutcomeKind.NO_CONNECTION:
+        elif outcome.kind is OutcomeKind.NO_CONNECTION:
             # Guards against a restart that the list has not told: tried ever more seldom, it counts as cold.
             self.troubles += 1
             if self.young and self.troubles > 1:
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -164,17 +164,20 @@
                 sent, outcome = self.desk.now, (yield HandOff(node.store, self.time_out(task, node, aim)))
                 assert isinstance(outcome, Outcome)
                 node.learn(task, outcome)
-                if outcome.how is OutcomeKind.DELIVERED and (outcome.elsewhere, outcome.used) != (None, None):
+                if outcome.kind is OutcomeKind.DELIVERED and (outcome.elsewhere, outcome.used) != (
+                    None,
+                    None,
+                ):
                     state.tell(task.units, outcome, task.volume.plan, self.desk.now)
                 if not outcome.never_ran:
                     task.may_have_run.append((node.store, sent))
                     if (
-                        outcome.how in (OutcomeKind.TIMED_OUT, OutcomeKind.RESET, OutcomeKind.CANCELLED)
+                        outcome.kind in (OutcomeKind.TIMED_OUT, OutcomeKind.RESET, OutcomeKind.CANCELLED)
                         and task.key in self.keys
                     ):
                         self.keys[task.key].rests_until = self.desk.now + self.facts.key_rest
                 node.round()
-                if outcome.over or outcome.how is OutcomeKind.DELIVERED:
+                if outcome.over or outcome.kind is OutcomeKind.DELIVERED:
                     return
             yield self.final(task)
         finally:
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -173,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    how: OutcomeKind
+    kind: OutcomeKind
     lag: int
     over: bool
     used: int | None = None
@@ -182,7 +182,7 @@
 
     @property
     def never_ran(self) -> bool:
-        return self.how in (OutcomeKind.QUEUE_FULL, OutcomeKind.NO_CONNECTION, OutcomeKind.NOT_EXECUTED)
+        return self.kind in (OutcomeKind.QUEUE_FULL, OutcomeKind.NO_CONNECTION, OutcomeKind.NOT_EXECUTED)
 
 
 @dataclass(frozen=True, slots=True)
