--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -258,7 +258,7 @@
 
     def learn(self, task: Task, outcome: Outcome) -> None:
         now, cost, sent = self.desk.now, cost_of(task), self.sent.pop(task)
-        long = outcome.kind is OutcomeKind.TIMED_OUT and outcome.lag >= PATIENCE * self.lag(task.units)
+        long = outcome.kind is OutcomeKind.TIMED_OUT and outcome.latency >= PATIENCE * self.lag(task.units)
         lost = long and sent < self.proof  # guards against short patience and slow nodes, which look like it
         self.changes, self.waits.lost = self.changes + 1, now + LOSING if lost else self.waits.lost
         if outcome.kind is OutcomeKind.TIMED_OUT and not lost:
@@ -278,12 +278,16 @@
                 0,
             )
             # A cold store takes several times as long: who answers as quickly as before was only cut off.
-            if self.young and sent > self.young.suspected and outcome.lag < QUICK * self.unit * task.units:
+            if (
+                self.young
+                and sent > self.young.suspected
+                and outcome.latency < QUICK * self.unit * task.units
+            ):
                 self.young.suspected = 0
-            self.sample(outcome.lag, task.units)
+            self.sample(outcome.latency, task.units)
             self.waits.put(self.store, now, self.queueing())
             if (gap := self.gap()) < 0:
-                self.fall(min(FALL * -gap, DEEPEST), min(outcome.lag, self.tightest) // 2)
+                self.fall(min(FALL * -gap, DEEPEST), min(outcome.latency, self.tightest) // 2)
         elif outcome.kind is OutcomeKind.QUEUE_FULL:
             self.troubles += 1
             self.fall(FALL, ROUND)
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -174,7 +174,7 @@
 @dataclass(frozen=True, slots=True)
 class Outcome:
     kind: OutcomeKind
-    lag: int
+    latency: int
     over: bool
     used: int | None = None
     elsewhere: int | None = None  # None: answers do not tell it
