--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -64,7 +64,7 @@
             task.hand_offs += 1
             sent, outcome = self.desk.now, (yield HandOff(store))
             assert isinstance(outcome, Outcome)
-            if outcome.over or outcome.kind is OutcomeKind.DELIVERED:
+            if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                 return
             if not outcome.never_ran:
                 task.may_have_run.append((store, sent))
@@ -120,7 +120,7 @@
             assert isinstance(outcome, Outcome)
             self.out[store] -= 1
             self.pass_on(store)
-            if outcome.over or outcome.kind is OutcomeKind.DELIVERED:
+            if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                 return
             if not outcome.never_ran:
                 task.may_have_run.append((store, sent))
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -177,7 +177,7 @@
                     ):
                         self.keys[task.key].rests_until = self.desk.now + self.facts.key_rest
                 node.round()
-                if outcome.over or outcome.kind is OutcomeKind.DELIVERED:
+                if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                     return
             yield self.final(task)
         finally:
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -186,7 +186,7 @@
                 assert isinstance(outcome, Outcome)
             finally:
                 self.eye.leave(true, seat)
-            if outcome.over or outcome.kind is OutcomeKind.DELIVERED:
+            if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                 return
             if not outcome.never_ran:
                 task.may_have_run.append((store, sent))
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -175,7 +175,7 @@
 class Outcome:
     kind: OutcomeKind
     latency: int
-    over: bool
+    task_answered: bool
     used: int | None = None
     elsewhere: int | None = None  # None: answers do not tell it
     report: tuple[float, ...] = ()
