--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -164,7 +164,10 @@
                 sent, outcome = self.desk.now, (yield HandOff(node.store, self.time_out(task, node, aim)))
                 assert isinstance(outcome, Outcome)
                 node.learn(task, outcome)
-                if outcome.kind is OutcomeKind.DELIVERED and (outcome.elsewhere, outcome.used) != (
+                if outcome.kind is OutcomeKind.DELIVERED and (
+                    outcome.elsewhere,
+                    outcome.plan_use_percent,
+                ) != (
                     None,
                     None,
                 ):
--- a/tansykeel/brain/volumes.py
+++ b/tansykeel/brain/volumes.py
@@ -44,7 +44,7 @@
 
     def tell(self, units: float, outcome: Outcome, plan: Plan, now: int) -> None:
         """Take in the volume's use: through others since the last answer, or by the meter, through all."""
-        used = (outcome.used or 0) / 100 * plan.rate * min(now - self.told_at, STALE) / SECOND
+        used = (outcome.plan_use_percent or 0) / 100 * plan.rate * min(now - self.told_at, STALE) / SECOND
         self.told_at, by_all = now, used if outcome.elsewhere is None else units + outcome.elsewhere
         self.told.append((units, by_all))
         was = self.told.popleft() if len(self.told) > LAST else (0.0, 0.0)
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -176,7 +176,7 @@
     kind: OutcomeKind
     latency: int
     task_answered: bool
-    used: int | None = None
+    plan_use_percent: int | None = None
     elsewhere: int | None = None  # None: answers do not tell it
     report: tuple[float, ...] = ()
 
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -78,7 +78,7 @@
     brain, _ = scheduler([])
     state = brain.state_of(Volume("v", PLAN, 10.0))
     for _ in range(1, 40):
-        state.tell(2.0, Outcome(OutcomeKind.DELIVERED, 100, True, used=used), PLAN, state.told_at + 10_000)
+        state.tell(2.0, Outcome(OutcomeKind.DELIVERED, 100, True, plan_use_percent=used), PLAN, state.told_at + 10_000)
     assert state.part(0.0) == pytest.approx(part)
 
 
