--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -165,7 +165,7 @@
                 assert isinstance(outcome, Outcome)
                 node.learn(task, outcome)
                 if outcome.kind is OutcomeKind.DELIVERED and (
-                    outcome.elsewhere,
+                    outcome.used_elsewhere,
                     outcome.plan_use_percent,
                 ) != (
                     None,
--- a/tansykeel/brain/volumes.py
+++ b/tansykeel/brain/volumes.py
@@ -45,7 +45,7 @@
     def tell(self, units: float, outcome: Outcome, plan: Plan, now: int) -> None:
         """Take in the volume's use: through others since the last answer, or by the meter, through all."""
         used = (outcome.plan_use_percent or 0) / 100 * plan.rate * min(now - self.told_at, STALE) / SECOND
-        self.told_at, by_all = now, used if outcome.elsewhere is None else units + outcome.elsewhere
+        self.told_at, by_all = now, used if outcome.used_elsewhere is None else units + outcome.used_elsewhere
         self.told.append((units, by_all))
         was = self.told.popleft() if len(self.told) > LAST else (0.0, 0.0)
         self.here, self.all = self.here + units - was[0], self.all + by_all - was[1]
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -177,7 +177,7 @@
     latency: int
     task_answered: bool
     plan_use_percent: int | None = None
-    elsewhere: int | None = None  # None: answers do not tell it
+    used_elsewhere: int | None = None  # None: answers do not tell it
     report: tuple[float, ...] = ()
 
     @property
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -68,7 +68,7 @@
     brain, _ = scheduler([])
     state = brain.state_of(Volume("v", PLAN, hosts))
     for here, there in told:
-        state.tell(here, Outcome(OutcomeKind.DELIVERED, 100, True, elsewhere=there), PLAN, state.told_at)
+        state.tell(here, Outcome(OutcomeKind.DELIVERED, 100, True, used_elsewhere=there), PLAN, state.told_at)
     assert state.part(2.0) == pytest.approx(part)
 
 
