--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -161,7 +161,7 @@
     def tell(self, peer: int | None, word: PeerMessage) -> None:
         whom = wire.EVERYONE if peer is None else peer
         volume = word.volume.handle if word.volume else None
-        self.outbox.tell(self.who, whom, words.write(volume, word.units, word.gift))
+        self.outbox.tell(self.who, whom, words.write(volume, word.units, word.is_grant))
 
     def note(self, text: str) -> None:
         self.outbox.show(self.who, text)
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -264,12 +264,12 @@
         if word.volume is None:
             if not (long := self.desk.now >= self.born + NEW):
                 self.new = self.new is not False and not word.units
-            if not word.gift:
+            if not word.is_grant:
                 self.desk.tell(peer, PeerMessage(None, float(long), True))
         elif (state := word.volume.state) is not None:
-            state.fill(self.desk.now, word.units if word.gift else 0.0)
+            state.fill(self.desk.now, word.units if word.is_grant else 0.0)
             gift = min(word.units, max(state.units, 0.0) / 2)
-            if word.gift:
+            if word.is_grant:
                 state.got += word.units
                 for task in state.short:
                     self.desk.wake(task, WakeReason.RECHECK)
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -192,7 +192,7 @@
 
     volume: Volume | None
     units: float
-    gift: bool
+    is_grant: bool
 
 
 class WakeReason(Enum):
