--- a/tansykeel/brain/volumes.py
+++ b/tansykeel/brain/volumes.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from tansykeel.interface import BudgetRule, Outcome, Parts, Plan, Task
+from tansykeel.interface import BudgetRule, Outcome, Plan, ShareProvider, Task
 
 from .cold import SECOND
 from .nodes import Line
@@ -31,7 +31,7 @@
 class VolumeState:
     """A volume over all nodes, and its limit's part here; units passed on are gone before they come."""
 
-    def __init__(self, hosts: float, limit: float, depth: float, born: int, parts: Parts) -> None:
+    def __init__(self, hosts: float, limit: float, depth: float, born: int, parts: ShareProvider) -> None:
         self.hosts, self.limit, self.depth, self.units, self.at = hosts, limit, depth, 0.0, born
         self.parts, self.started = parts, False  # started: it is settled that the part starts full, or empty
         self.peers: dict[int, None] = {}  # other gateways heard to have tasks of the volume
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -38,8 +38,8 @@
     Nack,
     Outcome,
     OutcomeKind,
-    Parts,
     PeerMessage,
+    ShareProvider,
     Store,
     StoreState,
     Task,
@@ -64,7 +64,7 @@
         intake: Intake,
         known: Iterable[RowOf] = (),
         decide: Callable[[Facts, int, Runner], Decisions] = Scheduler,
-        parts: Parts | None = None,
+        parts: ShareProvider | None = None,
     ) -> None:
         self.facts, self.wire, self.bounds, self.intake = facts, wire, bounds, intake
         self.runner = Runner(self, now, parts)
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -25,7 +25,7 @@
 from tansykeel.edge.stores import Stores
 from tansykeel.edge.tasks import DELIVERED, Attempt, Decisions, Final, Held, StillHeld
 from tansykeel.edge.trace import Trace
-from tansykeel.interface import Facts, Parts, PeerMessage
+from tansykeel.interface import Facts, PeerMessage, ShareProvider
 from tansykeel.maintenance.messages import CODEC, Figures, MaintenanceMessage, MessageError
 from tansykeel.maintenance.state import State
 from tansykeel.protocol.codec import Codec, Event, Piece
@@ -254,7 +254,7 @@
 
     # Within
 
-    def _allotments(self) -> Parts | None:
+    def _allotments(self) -> ShareProvider | None:
         """Return what tells the gateway's part of the wholes that all gateways divide; none: each has an even part."""
         if self.cluster_agent:
             return self.cluster_agent.cluster_member.parts
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -229,7 +229,7 @@
 TaskAction = HandOff | Wait | Nack | BreakOff
 
 
-class Parts(Protocol):
+class ShareProvider(Protocol):
     """How this gateway's part of what all gateways divide stands to an even one."""
 
     def earned(self, since: int, now: int) -> tuple[float, float]:
@@ -248,7 +248,7 @@
     """What the module can ask of the runner beside what tasks yield."""
 
     now: int
-    parts: Parts
+    parts: ShareProvider
 
     def wake(self, task: Task, signal: WakeReason) -> None: ...
     def alarm(self, at: int, call: Callable[[], None]) -> None: ...
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -14,8 +14,8 @@
     HandOff,
     Nack,
     Outcome,
-    Parts,
     PeerMessage,
+    ShareProvider,
     Task,
     TaskAction,
     Wait,
@@ -28,7 +28,7 @@
 class Runner:
     """One instance's desk. The clock moves only when `move` is called with a batch's time."""
 
-    def __init__(self, door: Door, now: int, parts: Parts | None = None) -> None:
+    def __init__(self, door: Door, now: int, parts: ShareProvider | None = None) -> None:
         self.now, self.parts = now, parts or EvenParts()
         self._door = door
         self._runs: dict[Task, Run] = {}
