--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -9,7 +9,7 @@
     Category,
     DeduplicationScope,
     Desk,
-    EvenParts,
+    EvenShares,
     Facts,
     HandOff,
     Nack,
@@ -214,7 +214,9 @@
     def state_of(self, volume: Volume) -> VolumeState:
         if volume.state is None:
             plan, hosts = volume.plan, volume.gateways if volume.gateways >= 1 else self.facts.gateways
-            parts = self.desk.parts if hosts == self.facts.gateways else EvenParts()  # views divide among all
+            parts = (
+                self.desk.parts if hosts == self.facts.gateways else EvenShares()
+            )  # views divide among all
             limit, depth = plan.limit / SECOND / hosts, plan.limit_depth / hosts
             volume.state = VolumeState(hosts, limit, depth, self.born, parts)
         return volume.state
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -237,7 +237,7 @@
         ...
 
 
-class EvenParts:
+class EvenShares:
     """Where nothing else is agreed."""
 
     def earned(self, since: int, now: int) -> tuple[float, float]:
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -10,7 +10,7 @@
 from tansykeel.interface import (
     BreakOff,
     Door,
-    EvenParts,
+    EvenShares,
     HandOff,
     Nack,
     Outcome,
@@ -29,7 +29,7 @@
     """One instance's desk. The clock moves only when `move` is called with a batch's time."""
 
     def __init__(self, door: Door, now: int, parts: ShareProvider | None = None) -> None:
-        self.now, self.parts = now, parts or EvenParts()
+        self.now, self.parts = now, parts or EvenShares()
         self._door = door
         self._runs: dict[Task, Run] = {}
         self._waits: dict[Task, int] = {}
