--- a/tansykeel/brain/volumes.py
+++ b/tansykeel/brain/volumes.py
@@ -64,5 +64,5 @@
         return (self.here + usual / self.hosts) / (max(self.here, self.all) + usual)
 
     def fill(self, now: int, more: float = 0.0) -> None:
-        span, most = self.parts.earned(self.at, now)
+        span, most = self.parts.accrued(self.at, now)
         self.units, self.at = min(self.units + self.limit * span + more, self.depth * most), now
--- a/tansykeel/cluster/allotments.py
+++ b/tansykeel/cluster/allotments.py
@@ -30,7 +30,7 @@
         else:
             self.spans.append((now, until, scale))
 
-    def earned(self, since: int, now: int) -> tuple[float, float]:
+    def accrued(self, since: int, now: int) -> tuple[float, float]:
         """What the time from `since` is worth in tenths of an even part, and how many even parts count now."""
         worth, end = 0.0, now
         for begins, until, scale in reversed(self.spans):
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -232,7 +232,7 @@
 class ShareProvider(Protocol):
     """How this gateway's part of what all gateways divide stands to an even one."""
 
-    def earned(self, since: int, now: int) -> tuple[float, float]:
+    def accrued(self, since: int, now: int) -> tuple[float, float]:
         """What the time since then was worth in tenths of an even part, and how many even parts count now."""
         ...
 
@@ -240,7 +240,7 @@
 class EvenShares:
     """Where nothing else is agreed."""
 
-    def earned(self, since: int, now: int) -> tuple[float, float]:
+    def accrued(self, since: int, now: int) -> tuple[float, float]:
         return now - since, 1.0
 
 
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -230,7 +230,7 @@
 
 def test_a_limit_is_earned_by_the_part_that_counts_and_a_smaller_one_holds_less():
     class Half:
-        def earned(self, since, now):
+        def accrued(self, since, now):
             return (now - since) / 2, 0.5
 
     state = VolumeState(1.0, limit=0.01, depth=20.0, born=0, parts=Half())
--- a/tests/control/test_session_client.py
+++ b/tests/control/test_session_client.py
@@ -110,7 +110,7 @@
     assert stage.client.part(held.until - 1) == part_of(UNITS, GATEWAYS) == SAFE_PART + Fraction(4, 5) / GATEWAYS
     assert stage.client.part(held.until) == SAFE_PART
     # The scheduler earns by the lease up to its end without being told.
-    earned, now_counts = stage.client.allotments.earned(asked, asked + 2 * TERMS.lease)
+    earned, now_counts = stage.client.allotments.accrued(asked, asked + 2 * TERMS.lease)
     assert earned == pytest.approx(TERMS.lease * (1 + float(SAFE)))
     assert now_counts == pytest.approx(float(SAFE))
 
--- a/tests/edge/test_control_session.py
+++ b/tests/edge/test_control_session.py
@@ -84,7 +84,7 @@
             assert made.session.is_open and made.first.received[0][:2] == ("edge-3", 77)
             assert made.first.of(SessionOpen)[0] == SessionOpen("ours", "edge-3", "north")
             assert not made.second.received and not made.third.received
-            _, even_parts = made.session.allotments.earned(begun, clock())
+            _, even_parts = made.session.allotments.accrued(begun, clock())
             assert even_parts == pytest.approx(float(part_of(UNITS, GATEWAYS) * GATEWAYS))
             await until(lambda: len(made.first.of(Heartbeat)) >= 4)
             beats = [beat.asked_at for beat in made.first.of(Heartbeat)]
@@ -235,7 +235,7 @@
         edge = Edge(settings, facts_of(settings, 1, 2), 1, claimed=lambda *claim: claims.append(claim[3].units))
         serving = asyncio.create_task(edge.serve(port.set_result))
         await port
-        assert edge.core.runner.parts.earned(clock(), clock())[1] == pytest.approx(0.2)
+        assert edge.core.runner.parts.accrued(clock(), clock())[1] == pytest.approx(0.2)
         for node in nodes:
             await node.start()
         await until(lambda: UNITS in claims)
