--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -214,11 +214,11 @@
     def state_of(self, volume: Volume) -> VolumeState:
         if volume.state is None:
             plan, hosts = volume.plan, volume.gateways if volume.gateways >= 1 else self.facts.gateways
-            parts = (
-                self.desk.parts if hosts == self.facts.gateways else EvenShares()
+            shares = (
+                self.desk.shares if hosts == self.facts.gateways else EvenShares()
             )  # views divide among all
             limit, depth = plan.limit / SECOND / hosts, plan.limit_depth / hosts
-            volume.state = VolumeState(hosts, limit, depth, self.born, parts)
+            volume.state = VolumeState(hosts, limit, depth, self.born, shares)
         return volume.state
 
     def spend(self, task: Task, line: Line, state: VolumeState) -> None:
--- a/tansykeel/brain/volumes.py
+++ b/tansykeel/brain/volumes.py
@@ -31,9 +31,12 @@
 class VolumeState:
     """A volume over all nodes, and its limit's part here; units passed on are gone before they come."""
 
-    def __init__(self, hosts: float, limit: float, depth: float, born: int, parts: ShareProvider) -> None:
+    def __init__(self, hosts: float, limit: float, depth: float, born: int, shares: ShareProvider) -> None:
         self.hosts, self.limit, self.depth, self.units, self.at = hosts, limit, depth, 0.0, born
-        self.parts, self.started = parts, False  # started: it is settled that the part starts full, or empty
+        self.shares, self.started = (
+            shares,
+            False,
+        )  # started: it is settled that the part starts full, or empty
         self.peers: dict[int, None] = {}  # other gateways heard to have tasks of the volume
         self.asked = self.ask_due = self.all_due = born  # last; when some, or all, may be again
         self.pause, self.wish, self.got = 0, 0.0, 0.0  # between asks; what the last was for, and brought
@@ -64,5 +67,5 @@
         return (self.here + usual / self.hosts) / (max(self.here, self.all) + usual)
 
     def fill(self, now: int, more: float = 0.0) -> None:
-        span, most = self.parts.accrued(self.at, now)
+        span, most = self.shares.accrued(self.at, now)
         self.units, self.at = min(self.units + self.limit * span + more, self.depth * most), now
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -248,7 +248,7 @@
     """What the module can ask of the runner beside what tasks yield."""
 
     now: int
-    parts: ShareProvider
+    shares: ShareProvider
 
     def wake(self, task: Task, signal: WakeReason) -> None: ...
     def alarm(self, at: int, call: Callable[[], None]) -> None: ...
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -28,8 +28,8 @@
 class Runner:
     """One instance's desk. The clock moves only when `move` is called with a batch's time."""
 
-    def __init__(self, door: Door, now: int, parts: ShareProvider | None = None) -> None:
-        self.now, self.parts = now, parts or EvenShares()
+    def __init__(self, door: Door, now: int, shares: ShareProvider | None = None) -> None:
+        self.now, self.shares = now, shares or EvenShares()
         self._door = door
         self._runs: dict[Task, Run] = {}
         self._waits: dict[Task, int] = {}
--- a/tests/edge/test_control_session.py
+++ b/tests/edge/test_control_session.py
@@ -235,7 +235,7 @@
         edge = Edge(settings, facts_of(settings, 1, 2), 1, claimed=lambda *claim: claims.append(claim[3].units))
         serving = asyncio.create_task(edge.serve(port.set_result))
         await port
-        assert edge.core.runner.parts.accrued(clock(), clock())[1] == pytest.approx(0.2)
+        assert edge.core.runner.shares.accrued(clock(), clock())[1] == pytest.approx(0.2)
         for node in nodes:
             await node.start()
         await until(lambda: UNITS in claims)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -40,7 +40,7 @@
     """A desk that notes what it is asked and moves only when told."""
 
     def __init__(self) -> None:
-        self.now, self.parts = 1_000_000, EvenShares()
+        self.now, self.shares = 1_000_000, EvenShares()
         self.woken: list[tuple[Task, WakeReason]] = []
         self.alarms: list[tuple[int, Callable[[], None]]] = []
         self.watches = 0
