--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -257,7 +257,7 @@
     def note(self, text: str) -> None: ...
 
 
-class Door(Protocol):
+class EffectHandler(Protocol):
     """What the runner needs of the outside."""
 
     def hand_off(self, task: Task, store: Store, time_out: int) -> None: ...
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -9,7 +9,7 @@
 
 from tansykeel.interface import (
     BreakOff,
-    Door,
+    EffectHandler,
     EvenShares,
     HandOff,
     Nack,
@@ -28,9 +28,9 @@
 class Runner:
     """One instance's desk. The clock moves only when `move` is called with a batch's time."""
 
-    def __init__(self, door: Door, now: int, shares: ShareProvider | None = None) -> None:
+    def __init__(self, effects: EffectHandler, now: int, shares: ShareProvider | None = None) -> None:
         self.now, self.shares = now, shares or EvenShares()
-        self._door = door
+        self._effects = effects
         self._runs: dict[Task, Run] = {}
         self._waits: dict[Task, int] = {}
         self._woken: deque[tuple[Task, WakeReason]] = deque()
@@ -81,13 +81,13 @@
         heapq.heappush(self._alarms, (at, self._count, call))
 
     def watch(self) -> None:
-        self._door.watch()
+        self._effects.watch()
 
     def tell(self, peer: int | None, word: PeerMessage) -> None:
-        self._door.tell(peer, word)
+        self._effects.tell(peer, word)
 
     def note(self, text: str) -> None:
-        self._door.note(text)
+        self._effects.note(text)
 
     def _resume_woken(self) -> None:
         while self._woken:
@@ -98,7 +98,7 @@
     def _arm(self) -> None:
         if self._alarms and (self._reminder is None or self._alarms[0][0] < self._reminder):
             self._reminder = self._alarms[0][0]
-            self._door.remind(self._reminder)
+            self._effects.remind(self._reminder)
 
     def _time_up(self, task: Task, ticket: int) -> None:
         if self._waits.get(task) == ticket:
@@ -114,15 +114,15 @@
             return
         match want:
             case HandOff():
-                self._door.hand_off(task, want.store, want.time_out)
+                self._effects.hand_off(task, want.store, want.time_out)
             case Wait():
                 self._count += 1
                 self._waits[task] = self._count
                 self.alarm(want.until, partial(self._time_up, task, self._count))
             case Nack() | BreakOff():
                 if isinstance(want, Nack):
-                    self._door.nack(task, want.come_back)
+                    self._effects.nack(task, want.come_back)
                 else:
-                    self._door.break_off(task)
+                    self._effects.break_off(task)
                 del self._runs[task]
                 run.close()
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -104,7 +104,7 @@
         read_facts(text)
 
 
-class Door(list):
+class EffectHandler(list):
     """Notes what the runner does outside."""
 
     def __getattr__(self, name):
@@ -112,8 +112,8 @@
 
 
 def test_the_runner_resumes_a_held_task_once_and_ignores_its_old_timer():
-    door = Door()
-    runner, held = Runner(door, 0), task(Desk())
+    effects = EffectHandler()
+    runner, held = Runner(effects, 0), task(Desk())
     seen = []
 
     def run():
@@ -129,4 +129,4 @@
     assert seen == [WakeReason.GRANTED]
     runner.move(300)
     runner.reminded()
-    assert seen == [WakeReason.GRANTED, WakeReason.TIMER] and door[-1] == ("nack", 7)
+    assert seen == [WakeReason.GRANTED, WakeReason.TIMER] and effects[-1] == ("nack", 7)
