--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -107,7 +107,7 @@
     def hand_off(self, task: Task, store: Store, time_out: int) -> None:
         self.push(self.now + LAG, "outcome", task)
 
-    def remind(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         self.push(at, "remind")
 
     def nack(self, task: Task, come_back: int) -> None:
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -151,7 +151,7 @@
         self.tasks.pop(task.handle, None)
         self.outbox.lose(self.who, task.handle)
 
-    def remind(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         # From the exact clock, so that the reminder cannot come before the tenth it stands for.
         self.outbox.timer(self.who, max(at * TENTH - self.clock, 0), 0)
 
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -261,7 +261,7 @@
     def break_off(self, task: Task) -> None:
         self._final(task.handle, BreakOff(), "")
 
-    def remind(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         self.wire.remind(at)
 
     def watch(self) -> None:
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -98,7 +98,7 @@
     def _arm(self) -> None:
         if self._alarms and (self._reminder is None or self._alarms[0][0] < self._reminder):
             self._reminder = self._alarms[0][0]
-            self._effects.remind(self._reminder)
+            self._effects.set_timer(self._reminder)
 
     def _time_up(self, task: Task, ticket: int) -> None:
         if self._waits.get(task) == ticket:
