--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -97,7 +97,7 @@
             self.now = max(self.now, at)
             self.runner.move(self.now)
             if kind == "remind":
-                self.runner.reminded()
+                self.runner.timer_fired()
             else:
                 self.done += 1
                 self.runner.outcome(rest[0], Outcome(OutcomeKind.DELIVERED, LAG, True, None, 1))
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -138,7 +138,7 @@
             del self.tasks[event.id]
 
     def reminder(self) -> None:
-        self.runner.reminded()
+        self.runner.timer_fired()
 
     def hand_off(self, task: Task, store: Store, time_out: int) -> None:
         self.outbox.transmit(self.who, task.handle, store.handle, time_out * TENTH)
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -222,7 +222,7 @@
 
     def tick(self, now: int) -> None:
         self.runner.move(now)
-        self.runner.reminded()
+        self.runner.timer_fired()
 
     # The end
 
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -59,7 +59,7 @@
         self.settle()
         return held
 
-    def reminded(self) -> None:
+    def timer_fired(self) -> None:
         if self._reminder is not None and self._reminder <= self.now:
             self._reminder = None
         while self._alarms and self._alarms[0][0] <= self.now:
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -125,8 +125,8 @@
     runner.wake(held, WakeReason.GRANTED)
     runner.settle()
     runner.move(200)
-    runner.reminded()
+    runner.timer_fired()
     assert seen == [WakeReason.GRANTED]
     runner.move(300)
-    runner.reminded()
+    runner.timer_fired()
     assert seen == [WakeReason.GRANTED, WakeReason.TIMER] and effects[-1] == ("nack", 7)
