--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -116,7 +116,7 @@
     def break_off(self, task: Task) -> None:
         pass
 
-    def watch(self) -> None:
+    def request_store_list(self) -> None:
         pass
 
     def note(self, text: str) -> None:
--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -37,7 +37,7 @@
         self.next_new = seed
         self.asks = 0
         if facts.listing.must_ask:
-            desk.watch()
+            desk.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
         ready = [store for store in stores if store.state is StoreState.READY]
@@ -47,7 +47,7 @@
         """Baselines keep to what is theirs: they neither ask nor give."""
 
     def list_failed(self) -> None:
-        self.desk.alarm(self.desk.now + 10_000, self.desk.watch)
+        self.desk.alarm(self.desk.now + 10_000, self.desk.request_store_list)
 
     def store_for(self, task: Task) -> Store | None:
         if task.shard is not None:
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -155,7 +155,7 @@
         # From the exact clock, so that the reminder cannot come before the tenth it stands for.
         self.outbox.timer(self.who, max(at * TENTH - self.clock, 0), 0)
 
-    def watch(self) -> None:
+    def request_store_list(self) -> None:
         self.outbox.watch(self.who, True)
 
     def tell(self, peer: int | None, word: PeerMessage) -> None:
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -51,7 +51,7 @@
         self.extras = Extras(facts.budget, desk.now) if facts.budget else None
         self.patience: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
         if facts.listing.must_ask:
-            desk.watch()
+            desk.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
         self.asks = 0 if confirmed else self.asks
@@ -93,7 +93,9 @@
         # Guards against news that whoever pushes holds: it counts as told, and calls there cost nothing.
         wait = min(SECOND * 2**self.asks, TOLD // 3) if self.facts.listing.must_ask else ANEW
         self.asks += 1
-        self.desk.alarm(self.desk.now + int(self.chance.uniform(0.5, 1.5) * wait), self.desk.watch)
+        self.desk.alarm(
+            self.desk.now + int(self.chance.uniform(0.5, 1.5) * wait), self.desk.request_store_list
+        )
 
     def average_rate(self) -> float:
         """What a new node counts as; before any was heard, the rate that fills the least bound."""
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -264,7 +264,7 @@
     def set_timer(self, at: int) -> None:
         self.wire.remind(at)
 
-    def watch(self) -> None:
+    def request_store_list(self) -> None:
         self.wire.ask_list()
 
     def tell(self, peer: int | None, word: PeerMessage) -> None:
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -80,8 +80,8 @@
         self._count += 1
         heapq.heappush(self._alarms, (at, self._count, call))
 
-    def watch(self) -> None:
-        self._effects.watch()
+    def request_store_list(self) -> None:
+        self._effects.request_store_list()
 
     def tell(self, peer: int | None, word: PeerMessage) -> None:
         self._effects.tell(peer, word)
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -169,7 +169,7 @@
     assert desk.watches == 1
     for _ in range(40):
         brain.list_failed()
-    times = [at - desk.now for at, call in desk.alarms if call == desk.watch]
+    times = [at - desk.now for at, call in desk.alarms if call == desk.request_store_list]
     assert len(times) == 40 and 5_000 <= times[0] <= 15_000
     assert min(times[1:]) >= 10_000 and 25_000 < max(times) <= 30_000
     brain.list_changed([], confirmed=True)
@@ -182,7 +182,7 @@
     brain, desk = scheduler([], listing=Listing(False, 0, 5_000))
     for _ in range(8):
         brain.list_failed()
-    times = [at - desk.now for at, call in desk.alarms if call == desk.watch]
+    times = [at - desk.now for at, call in desk.alarms if call == desk.request_store_list]
     assert len(times) == 8 and min(times) >= 250 and max(times) <= 750
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -53,7 +53,7 @@
     def alarm(self, at: int, call: Callable[[], None]) -> None:
         self.alarms.append((at, call))
 
-    def watch(self) -> None:
+    def request_store_list(self) -> None:
         self.watches += 1
 
     def tell(self, peer: int | None, word: PeerMessage) -> None:
