--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -158,7 +158,7 @@
     def request_store_list(self) -> None:
         self.outbox.watch(self.who, True)
 
-    def tell(self, peer: int | None, word: PeerMessage) -> None:
+    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         whom = wire.EVERYONE if peer is None else peer
         volume = word.volume.handle if word.volume else None
         self.outbox.tell(self.who, whom, words.write(volume, word.units, word.is_grant))
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -43,7 +43,7 @@
         self.facts, self.desk, self.chance, self.born = facts, desk, random.Random(seed), desk.now
         self.new: bool | None = None  # whether all gateways are, where another has said so
         if facts.allowed.peers:
-            desk.alarm(desk.now, lambda: desk.tell(None, PeerMessage(None, 0.0, False)))
+            desk.alarm(desk.now, lambda: desk.send_to_peer(None, PeerMessage(None, 0.0, False)))
         self.tightest = min(category.soft_limit for category in facts.categories)
         self.least, self.usual = max(facts.sizes.largest, 1.0), max(facts.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
@@ -260,7 +260,7 @@
                 some, state.all_due = [None], now + ALL
             for peer in some:
                 each = state.wish / (state.hosts - 1 if peer is None else len(some))
-                self.desk.tell(peer, PeerMessage(volume, each, False))
+                self.desk.send_to_peer(peer, PeerMessage(volume, each, False))
         return max(state.asked + ASK - now, 0)
 
     def heard(self, peer: int, word: PeerMessage) -> None:
@@ -269,7 +269,7 @@
             if not (long := self.desk.now >= self.born + NEW):
                 self.new = self.new is not False and not word.units
             if not word.is_grant:
-                self.desk.tell(peer, PeerMessage(None, float(long), True))
+                self.desk.send_to_peer(peer, PeerMessage(None, float(long), True))
         elif (state := word.volume.state) is not None:
             state.fill(self.desk.now, word.units if word.is_grant else 0.0)
             gift = min(word.units, max(state.units, 0.0) / 2)
@@ -279,7 +279,7 @@
                     self.desk.wake(task, WakeReason.RECHECK)
             elif gift >= 1 or peer not in state.peers:
                 state.units -= gift
-                self.desk.tell(peer, PeerMessage(word.volume, gift, True))
+                self.desk.send_to_peer(peer, PeerMessage(word.volume, gift, True))
             state.peers[peer] = None
 
     def may_hand_off(self, task: Task) -> bool:
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -267,7 +267,7 @@
     def request_store_list(self) -> None:
         self.wire.ask_list()
 
-    def tell(self, peer: int | None, word: PeerMessage) -> None:
+    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         self.wire.tell_peer(peer, word)
 
     def note(self, text: str) -> None:
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -83,8 +83,8 @@
     def request_store_list(self) -> None:
         self._effects.request_store_list()
 
-    def tell(self, peer: int | None, word: PeerMessage) -> None:
-        self._effects.tell(peer, word)
+    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
+        self._effects.send_to_peer(peer, word)
 
     def note(self, text: str) -> None:
         self._effects.note(text)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -56,7 +56,7 @@
     def request_store_list(self) -> None:
         self.watches += 1
 
-    def tell(self, peer: int | None, word: PeerMessage) -> None:
+    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         self.told.append((peer, word))
 
     def note(self, text: str) -> None:
