--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -119,7 +119,7 @@
     def request_store_list(self) -> None:
         pass
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         pass
 
 
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -163,7 +163,7 @@
         volume = word.volume.handle if word.volume else None
         self.outbox.tell(self.who, whom, words.write(volume, word.units, word.is_grant))
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self.outbox.show(self.who, text)
 
 
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -270,7 +270,7 @@
     def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         self.wire.tell_peer(peer, word)
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self.wire.note("module", text=text)
 
     # Within
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -86,8 +86,8 @@
     def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         self._effects.send_to_peer(peer, word)
 
-    def note(self, text: str) -> None:
-        self._effects.note(text)
+    def log(self, text: str) -> None:
+        self._effects.log(text)
 
     def _resume_woken(self) -> None:
         while self._woken:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -59,7 +59,7 @@
     def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         self.told.append((peer, word))
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self.notes.append(text)
 
 
