--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -47,7 +47,7 @@
         """Baselines keep to what is theirs: they neither ask nor give."""
 
     def list_failed(self) -> None:
-        self.desk.alarm(self.desk.now + 10_000, self.desk.request_store_list)
+        self.desk.call_at(self.desk.now + 10_000, self.desk.request_store_list)
 
     def store_for(self, task: Task) -> Store | None:
         if task.shard is not None:
--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -175,7 +175,9 @@
             self.slices()
         if self.held and not self.round_set:
             self.round_set = True
-            self.desk.alarm(max(self.desk.now + ROUND, self.young.due if self.young else 0), self.next_round)
+            self.desk.call_at(
+                max(self.desk.now + ROUND, self.young.due if self.young else 0), self.next_round
+            )
 
     def next_round(self) -> None:
         self.round_set = False
@@ -263,7 +265,7 @@
         self.changes, self.waits.lost = self.changes + 1, now + LOSING if lost else self.waits.lost
         if outcome.kind is OutcomeKind.TIMED_OUT and not lost:
             # Guards against work that goes on at the store after its client left: it stays on the books.
-            self.desk.alarm(now + self.tightest, lambda: self.release(cost))
+            self.desk.call_at(now + self.tightest, lambda: self.release(cost))
         else:
             self.heard, self.out, self.tokens_out = now, self.out - 1, self.tokens_out - cost
         if outcome.kind not in (OutcomeKind.NOT_EXECUTED, OutcomeKind.CANCELLED):
@@ -298,4 +300,4 @@
             if self.young and self.troubles > 1:
                 self.young.suspected, self.young.at, self.young.credit = now, now, min(self.young.credit, 0.0)
             self.resting = now + PAUSE * min(self.troubles, 5)
-            self.desk.alarm(self.resting, self.round)
+            self.desk.call_at(self.resting, self.round)
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -43,7 +43,7 @@
         self.facts, self.desk, self.chance, self.born = facts, desk, random.Random(seed), desk.now
         self.new: bool | None = None  # whether all gateways are, where another has said so
         if facts.allowed.peers:
-            desk.alarm(desk.now, lambda: desk.send_to_peer(None, PeerMessage(None, 0.0, False)))
+            desk.call_at(desk.now, lambda: desk.send_to_peer(None, PeerMessage(None, 0.0, False)))
         self.tightest = min(category.soft_limit for category in facts.categories)
         self.least, self.usual = max(facts.sizes.largest, 1.0), max(facts.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
@@ -93,7 +93,7 @@
         # Guards against news that whoever pushes holds: it counts as told, and calls there cost nothing.
         wait = min(SECOND * 2**self.asks, TOLD // 3) if self.facts.listing.must_ask else ANEW
         self.asks += 1
-        self.desk.alarm(
+        self.desk.call_at(
             self.desk.now + int(self.chance.uniform(0.5, 1.5) * wait), self.desk.request_store_list
         )
 
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -101,7 +101,7 @@
             return self._give_up(held, "no memory for its body")
         held.memory = asked.memory
         if held.missing:  # guards against a body that never comes: the client is answered all the same
-            self.runner.alarm(held.task.deadline, partial(self._body_late, held))
+            self.runner.call_at(held.task.deadline, partial(self._body_late, held))
             self.runner.settle()
         if held.task.category.ordered and held.task.key:
             self.coming.setdefault(held.task.key, deque()).append(held)
@@ -252,7 +252,7 @@
         attempt = Attempt(held, store, task.hand_offs - 1, now, until)
         held.out.append(attempt)
         self.counts.hand_offs += 1
-        self.runner.alarm(until, partial(self._timed_out, attempt))
+        self.runner.call_at(until, partial(self._timed_out, attempt))
         self.wire.hand_off(attempt)
 
     def nack(self, task: Task, come_back: int) -> None:
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -76,7 +76,7 @@
         """Resume a task once the one running now has yielded; it may still be about to wait."""
         self._woken.append((task, signal))
 
-    def alarm(self, at: int, call: Callable[[], None]) -> None:
+    def call_at(self, at: int, call: Callable[[], None]) -> None:
         self._count += 1
         heapq.heappush(self._alarms, (at, self._count, call))
 
@@ -118,7 +118,7 @@
             case Wait():
                 self._count += 1
                 self._waits[task] = self._count
-                self.alarm(want.until, partial(self._time_up, task, self._count))
+                self.call_at(want.until, partial(self._time_up, task, self._count))
             case Nack() | BreakOff():
                 if isinstance(want, Nack):
                     self._effects.nack(task, want.come_back)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -50,7 +50,7 @@
     def wake(self, task: Task, signal: WakeReason) -> None:
         self.woken.append((task, signal))
 
-    def alarm(self, at: int, call: Callable[[], None]) -> None:
+    def call_at(self, at: int, call: Callable[[], None]) -> None:
         self.alarms.append((at, call))
 
     def request_store_list(self) -> None:
