--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -95,14 +95,14 @@
         while self.events and self.events[0][0] <= moment:
             at, _, (kind, *rest) = heapq.heappop(self.events)
             self.now = max(self.now, at)
-            self.runner.move(self.now)
+            self.runner.advance_clock(self.now)
             if kind == "remind":
                 self.runner.timer_fired()
             else:
                 self.done += 1
                 self.runner.outcome(rest[0], Outcome(OutcomeKind.DELIVERED, LAG, True, None, 1))
         self.now = moment
-        self.runner.move(moment)
+        self.runner.advance_clock(moment)
 
     def hand_off(self, task: Task, store: Store, time_out: int) -> None:
         self.push(self.now + LAG, "outcome", task)
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -69,7 +69,7 @@
 
     def move(self, clock: int) -> None:
         self.clock = clock
-        self.runner.move(_floor(clock))
+        self.runner.advance_clock(_floor(clock))
 
     def update(self, event: wire.Update, entries: list[wire.Entry]) -> None:
         if event.scope == 0:
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -86,7 +86,7 @@
 
     def taken(self, now: int, client: Any, id: Any, request: Any) -> None:
         """A task has come. Raises StillHeld where the client uses the id of a task that it still waits for."""
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         now = self.runner.now
         if (client, id) in self.held:
             raise StillHeld(f"task {id}: one with this id is still held")
@@ -116,7 +116,7 @@
         held.body.append(data)
         held.missing -= len(data)
         if not held.missing:
-            self.runner.move(now)
+            self.runner.advance_clock(now)
             self._whole(held)
 
     def left(self, now: int, client: Any, id: Any) -> None:
@@ -124,7 +124,7 @@
         held = self.held.get((client, id))
         if held is None or held.answered:
             return
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         held.answered = True
         self.counts.left += 1
         if held.started and not self.runner.left(held.task):
@@ -154,7 +154,7 @@
         """What became of a hand-off. One whose outcome is known already is not told of again."""
         if attempt.over:
             return
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         attempt.over = True
         held, lag = attempt.held, self.runner.now - attempt.sent
         held.out.remove(attempt)
@@ -178,7 +178,7 @@
 
         True if it started anew: what was granted for it and not sent was decided without knowing that.
         """
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         if not self._booted(store, boot, age):
             return False
         self.brain.list_changed(list(self.stores.values()), confirmed=False)
@@ -188,7 +188,7 @@
     def listed(self, now: int, update: UpdateOf, anew: bool = False) -> None:
         """The list, or a change to it. One older than what is known is not believed, unless its versions count `anew`,
         from another beginning."""
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         if update.failed:
             return self.list_lost(now)
         if update.version < self.list_version and not anew:
@@ -210,18 +210,18 @@
 
     def list_lost(self, now: int) -> None:
         """A call failed or the subscription dropped: the module says when to ask again."""
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         self.brain.list_failed()
         self.runner.settle()
 
     def heard(self, now: int, sender: int, word: PeerMessage) -> None:
         """Another gateway's word."""
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         self.brain.heard(sender, word)
         self.runner.settle()
 
     def tick(self, now: int) -> None:
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         self.runner.timer_fired()
 
     # The end
@@ -232,13 +232,13 @@
 
     def answer_all(self, now: int) -> None:
         """Answer whatever is still held, as the module says for a task given up on."""
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         for held in [held for held in self.held.values() if not held.answered]:
             self._give_up(held, "the gateway ends")
 
     def give_up(self, now: int, held: Held, reason: str) -> None:
         """Answer one task now, as the module says for a task given up on."""
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         if not held.answered:
             self._give_up(held, reason)
         self.runner.settle()
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -148,7 +148,7 @@
 
     def look(self) -> None:
         gateway = self.eye.gateways[self.facts.me]
-        gateway.core.runner.move(gateway.clock())
+        gateway.core.runner.advance_clock(gateway.clock())
         gateway.core.runner.settle()
 
     def true_store(self, task: Task) -> tuple[Store, SimStore] | None:
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -26,7 +26,7 @@
 
 
 class Runner:
-    """One instance's desk. The clock moves only when `move` is called with a batch's time."""
+    """One instance's desk. The clock moves only when `advance_clock` is called with a batch's time."""
 
     def __init__(self, effects: EffectHandler, now: int, shares: ShareProvider | None = None) -> None:
         self.now, self.shares = now, shares or EvenShares()
@@ -38,7 +38,7 @@
         self._count = 0
         self._reminder: int | None = None
 
-    def move(self, now: int) -> None:
+    def advance_clock(self, now: int) -> None:
         self.now = max(self.now, now)
 
     def start(self, task: Task, run: Run) -> None:
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -124,9 +124,9 @@
     runner.start(held, run())
     runner.wake(held, WakeReason.GRANTED)
     runner.settle()
-    runner.move(200)
+    runner.advance_clock(200)
     runner.timer_fired()
     assert seen == [WakeReason.GRANTED]
-    runner.move(300)
+    runner.advance_clock(300)
     runner.timer_fired()
     assert seen == [WakeReason.GRANTED, WakeReason.TIMER] and effects[-1] == ("nack", 7)
--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -252,7 +252,7 @@
             attempt = next(iter(core.held.values())).out[0]
             store.writers[0].write(ok())
             end(store.writers[0])
-            core.runner.move(attempt.until)
+            core.runner.advance_clock(attempt.until)
             core._timed_out(attempt)
             answer = await client.answer()
             assert answer.status == 500 and core.counts.outcomes == {"timed out": 1} and len(store.got) == 1
