--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -81,7 +81,7 @@
                     if store not in listed:
                         store.state = StoreState.GONE
             self.brain.list_changed(list(self.stores.values()), confirmed=event.scope != 2)
-        self.runner.settle()
+        self.runner.run_pending()
 
     def _store(self, entry: wire.Entry) -> Store:
         store = self.stores.setdefault(entry.store, Store(entry.store))
@@ -130,7 +130,7 @@
         volume = self.volumes.get(handle) if handle is not None else None
         if volume is not None or handle is None:  # else no task of it has come here: nothing to ask or give
             self.brain.heard(event.sender, PeerMessage(volume, units, gift))
-        self.runner.settle()
+        self.runner.run_pending()
 
     def dropped(self, event: wire.Dropped) -> None:
         task = self.tasks.get(event.id)
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -80,7 +80,7 @@
         self.brain = decide(facts, seed, self.runner)
         self._rows(known)
         self.brain.list_changed(list(self.stores.values()), confirmed=False)
-        self.runner.settle()
+        self.runner.run_pending()
 
     # What clients say
 
@@ -102,7 +102,7 @@
         held.memory = asked.memory
         if held.missing:  # guards against a body that never comes: the client is answered all the same
             self.runner.call_at(held.task.deadline, partial(self._body_late, held))
-            self.runner.settle()
+            self.runner.run_pending()
         if held.task.category.ordered and held.task.key:
             self.coming.setdefault(held.task.key, deque()).append(held)
         if not held.missing:
@@ -131,7 +131,7 @@
             for attempt in held.out:
                 self._take_back(attempt)
         self._let_go(held)
-        self.runner.settle()
+        self.runner.run_pending()
 
     def client_gone(self, now: int, client: Any) -> None:
         for owner, id in [key for key in self.held if key[0] is client]:
@@ -182,7 +182,7 @@
         if not self._booted(store, boot, age):
             return False
         self.brain.list_changed(list(self.stores.values()), confirmed=False)
-        self.runner.settle()
+        self.runner.run_pending()
         return store.started > 0
 
     def listed(self, now: int, update: UpdateOf, anew: bool = False) -> None:
@@ -206,19 +206,19 @@
             store = self.stores.pop(name)
             del self.addresses[store]
             self.boots.pop(store, None)
-        self.runner.settle()
+        self.runner.run_pending()
 
     def list_lost(self, now: int) -> None:
         """A call failed or the subscription dropped: the module says when to ask again."""
         self.runner.advance_clock(now)
         self.brain.list_failed()
-        self.runner.settle()
+        self.runner.run_pending()
 
     def heard(self, now: int, sender: int, word: PeerMessage) -> None:
         """Another gateway's word."""
         self.runner.advance_clock(now)
         self.brain.heard(sender, word)
-        self.runner.settle()
+        self.runner.run_pending()
 
     def tick(self, now: int) -> None:
         self.runner.advance_clock(now)
@@ -241,7 +241,7 @@
         self.runner.advance_clock(now)
         if not held.answered:
             self._give_up(held, reason)
-        self.runner.settle()
+        self.runner.run_pending()
 
     # The module's door
 
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -149,7 +149,7 @@
     def look(self) -> None:
         gateway = self.eye.gateways[self.facts.me]
         gateway.core.runner.advance_clock(gateway.clock())
-        gateway.core.runner.settle()
+        gateway.core.runner.run_pending()
 
     def true_store(self, task: Task) -> tuple[Store, SimStore] | None:
         """The store for a task, if the list tells of the one that is there; the emptiest for a new object."""
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -355,7 +355,7 @@
             self.core.tick(now)
         except Exception as error:
             self.failed("a reminder failed", error)
-            self.core.runner.settle()
+            self.core.runner.run_pending()
 
     def failed(self, message: str, error: BaseException | None) -> None:
         """Log a failure within the gateway with its cause; the gateway goes on."""
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -44,19 +44,19 @@
     def start(self, task: Task, run: Run) -> None:
         self._runs[task] = run
         self._resume(task, None)
-        self.settle()
+        self.run_pending()
 
     def outcome(self, task: Task, outcome: Outcome) -> None:
         if task in self._runs and task not in self._waits:
             self._resume(task, outcome)
-        self.settle()
+        self.run_pending()
 
     def left(self, task: Task) -> bool:
         """The client has gone: a held task ends now, one that is out ends with its outcome (False)."""
         held = self._waits.pop(task, None) is not None
         if held:
             self._runs.pop(task).close()
-        self.settle()
+        self.run_pending()
         return held
 
     def timer_fired(self) -> None:
@@ -67,7 +67,7 @@
             self._resume_woken()
         self._arm()
 
-    def settle(self) -> None:
+    def run_pending(self) -> None:
         """Resume whatever the last event woke and see to the next reminder."""
         self._resume_woken()
         self._arm()
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -123,7 +123,7 @@
 
     runner.start(held, run())
     runner.wake(held, WakeReason.GRANTED)
-    runner.settle()
+    runner.run_pending()
     runner.advance_clock(200)
     runner.timer_fired()
     assert seen == [WakeReason.GRANTED]
