--- a/benchmarks/emulator_speed.py
+++ b/benchmarks/emulator_speed.py
@@ -24,7 +24,7 @@
 from tansykeel.rehearse.play import day_of  # noqa: E402
 from tansykeel.runner import Runner  # noqa: E402
 
-DOOR = ("start", "outcome", "left", "timer_fired", "run_pending")
+DOOR = ("start", "outcome", "client_left", "timer_fired", "run_pending")
 
 
 class Clock:
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -134,7 +134,7 @@
 
     def dropped(self, event: wire.Dropped) -> None:
         task = self.tasks.get(event.id)
-        if task is not None and self.runner.left(task):
+        if task is not None and self.runner.client_left(task):
             del self.tasks[event.id]
 
     def reminder(self) -> None:
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -127,7 +127,7 @@
         self.runner.advance_clock(now)
         held.answered = True
         self.counts.left += 1
-        if held.started and not self.runner.left(held.task):
+        if held.started and not self.runner.client_left(held.task):
             for attempt in held.out:
                 self._take_back(attempt)
         self._let_go(held)
@@ -329,7 +329,7 @@
         held.task.may_have_run += [(attempt.store, attempt.sent) for attempt in held.out]
         want = self.brain.final(held.task)
         self._final(held, want, reason)
-        if held.started and not self.runner.left(held.task):
+        if held.started and not self.runner.client_left(held.task):
             for attempt in held.out:
                 self.wire.cancel(attempt)
         self._let_go(held)
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -51,7 +51,7 @@
             self._resume(task, outcome)
         self.run_pending()
 
-    def left(self, task: Task) -> bool:
+    def client_left(self, task: Task) -> bool:
         """The client has gone: a held task ends now, one that is out ends with its outcome (False)."""
         held = self._waits.pop(task, None) is not None
         if held:
