--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -24,7 +24,7 @@
     Wait,
     WakeReason,
 )
-from tansykeel.runner import Run
+from tansykeel.runner import TaskGenerator
 
 
 class SendAtOnce:
@@ -56,7 +56,7 @@
         self.next_new += 1
         return self.by_shard[shards[self.next_new % len(shards)]] if shards else None
 
-    def serve(self, task: Task) -> Run:
+    def serve(self, task: Task) -> TaskGenerator:
         while task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline:
             store = self.store_for(task)
             if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.IDEMPOTENT:
@@ -104,7 +104,7 @@
         if line := self.lines.get(store):
             self.desk.wake(line.popleft(), WakeReason.GRANTED)
 
-    def serve(self, task: Task) -> Run:
+    def serve(self, task: Task) -> TaskGenerator:
         while task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline:
             store = self.store_for(task)
             if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.IDEMPOTENT:
@@ -136,7 +136,7 @@
         super().__init__(facts, seed, desk)
         self.level: dict[Volume, tuple[float, int]] = {}
 
-    def serve(self, task: Task) -> Run:
+    def serve(self, task: Task) -> TaskGenerator:
         rate = task.volume.plan.rate / self.SECOND / max(task.volume.gateways, 1)
         depth = rate * self.SECOND + self.facts.sizes.largest
         level, at = self.level.get(task.volume, (depth, self.desk.now))
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -28,7 +28,7 @@
     Wait,
     WakeReason,
 )
-from tansykeel.runner import Run
+from tansykeel.runner import TaskGenerator
 from tansykeel.settings.day import Day
 
 SECOND = 10_000
@@ -159,7 +159,7 @@
         found = [(store, true) for store, true in there if store.state is StoreState.READY and true.listening]
         return min(found, key=lambda pair: self.eye.out[pair[1]] + len(self.eye.waiting[pair[1]]), default=None)
 
-    def serve(self, task: Task) -> Run:
+    def serve(self, task: Task) -> TaskGenerator:
         now = self.desk.now
         aim = min(now + task.category.soft_limit, task.deadline - 1)
         if self.extras is not None:
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -22,7 +22,7 @@
     WakeReason,
 )
 
-Run = Generator[TaskAction, "WakeReason | Outcome | None", None]
+TaskGenerator = Generator[TaskAction, "WakeReason | Outcome | None", None]
 
 
 class Runner:
@@ -31,7 +31,7 @@
     def __init__(self, effects: EffectHandler, now: int, shares: ShareProvider | None = None) -> None:
         self.now, self.shares = now, shares or EvenShares()
         self._effects = effects
-        self._runs: dict[Task, Run] = {}
+        self._runs: dict[Task, TaskGenerator] = {}
         self._waits: dict[Task, int] = {}
         self._woken: deque[tuple[Task, WakeReason]] = deque()
         self._alarms: list[tuple[int, int, Callable[[], None]]] = []
@@ -41,7 +41,7 @@
     def advance_clock(self, now: int) -> None:
         self.now = max(self.now, now)
 
-    def start(self, task: Task, run: Run) -> None:
+    def start(self, task: Task, run: TaskGenerator) -> None:
         self._runs[task] = run
         self._resume(task, None)
         self.run_pending()
