--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -8,7 +8,6 @@
 from tansykeel.interface import (
     BreakOff,
     DeduplicationScope,
-    Desk,
     Facts,
     HandOff,
     Nack,
@@ -16,6 +15,7 @@
     OutcomeKind,
     PeerMessage,
     RepeatSafety,
+    Runtime,
     Store,
     StoreState,
     Task,
@@ -31,7 +31,7 @@
     """Every task goes out when it comes, to the store that holds its data (a new object to each store in turn),
     and once more after a quick failure where that does no harm. Nothing is held, nothing refused but for a drain."""
 
-    def __init__(self, facts: Facts, seed: int, desk: Desk) -> None:
+    def __init__(self, facts: Facts, seed: int, desk: Runtime) -> None:
         self.facts, self.desk = facts, desk
         self.by_shard: dict[int, Store] = {}
         self.next_new = seed
@@ -83,7 +83,7 @@
 
     WINDOW = 8
 
-    def __init__(self, facts: Facts, seed: int, desk: Desk) -> None:
+    def __init__(self, facts: Facts, seed: int, desk: Runtime) -> None:
         super().__init__(facts, seed, desk)
         self.out: dict[Store, int] = {}
         self.lines: dict[Store, deque[Task]] = {}
@@ -132,7 +132,7 @@
 
     SECOND = 10_000
 
-    def __init__(self, facts: Facts, seed: int, desk: Desk) -> None:
+    def __init__(self, facts: Facts, seed: int, desk: Runtime) -> None:
         super().__init__(facts, seed, desk)
         self.level: dict[Volume, tuple[float, int]] = {}
 
@@ -157,7 +157,7 @@
 
     QUANTUM = 4.0  # units that a volume gains in a round
 
-    def __init__(self, facts: Facts, seed: int, desk: Desk) -> None:
+    def __init__(self, facts: Facts, seed: int, desk: Runtime) -> None:
         super().__init__(facts, seed, desk)
         self.rings: dict[Store, dict[Volume, deque[Task]]] = {}
         self.deficits: dict[tuple[Store, Volume], float] = {}
--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -6,7 +6,7 @@
 from collections import deque
 from heapq import heappop, heappush
 
-from tansykeel.interface import Desk, Outcome, OutcomeKind, Store, StoreState, Task, Volume, WakeReason
+from tansykeel.interface import Outcome, OutcomeKind, Runtime, Store, StoreState, Task, Volume, WakeReason
 
 from .cold import BY_ASKED, ROUND, SECOND, Young
 from .rates import AIM_PART, FRESH, Measured, Waits
@@ -55,7 +55,7 @@
     def __init__(
         self,
         store: Store,
-        desk: Desk,
+        desk: Runtime,
         rate: float,
         least: float,
         usual: float,
--- a/tansykeel/brain/rates.py
+++ b/tansykeel/brain/rates.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from itertools import takewhile
 
-from tansykeel.interface import Desk, Store, Task
+from tansykeel.interface import Runtime, Store, Task
 
 from .cold import SECOND
 
@@ -50,7 +50,7 @@
     def __init__(
         self,
         store: Store,
-        desk: Desk,
+        desk: Runtime,
         rate: float,
         least: float,
         usual: float,
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -8,7 +8,6 @@
     BreakOff,
     Category,
     DeduplicationScope,
-    Desk,
     EvenShares,
     Facts,
     HandOff,
@@ -17,6 +16,7 @@
     OutcomeKind,
     PeerMessage,
     RepeatSafety,
+    Runtime,
     Store,
     StoreState,
     Task,
@@ -39,7 +39,7 @@
 
 
 class Scheduler:
-    def __init__(self, facts: Facts, seed: int, desk: Desk) -> None:
+    def __init__(self, facts: Facts, seed: int, desk: Runtime) -> None:
         self.facts, self.desk, self.chance, self.born = facts, desk, random.Random(seed), desk.now
         self.new: bool | None = None  # whether all gateways are, where another has said so
         if facts.allowed.peers:
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -244,7 +244,7 @@
         return now - since, 1.0
 
 
-class Desk(Protocol):
+class Runtime(Protocol):
     """What the module can ask of the runner beside what tasks yield."""
 
     now: int
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -5,7 +5,7 @@
 import io
 
 import pytest
-from helpers import Desk, task
+from helpers import Runtime, task
 
 from tansykeel.benchlink import words
 from tansykeel.benchlink.host import read_facts
@@ -113,7 +113,7 @@
 
 def test_the_runner_resumes_a_held_task_once_and_ignores_its_old_timer():
     effects = EffectHandler()
-    runner, held = Runner(effects, 0), task(Desk())
+    runner, held = Runner(effects, 0), task(Runtime())
     seen = []
 
     def run():
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -36,7 +36,7 @@
 PLAN = Plan("plain", 10.0, 0.0, 1.0, 1.0, 0.0, 0.0, 0.0)
 
 
-class Desk:
+class Runtime:
     """A desk that notes what it is asked and moves only when told."""
 
     def __init__(self) -> None:
@@ -89,15 +89,15 @@
     return made
 
 
-def scheduler(stores: list[Store], **changes: Any) -> tuple[Scheduler, Desk]:
-    desk = Desk()
+def scheduler(stores: list[Store], **changes: Any) -> tuple[Scheduler, Runtime]:
+    desk = Runtime()
     made = Scheduler(facts(**changes), 1, desk)
     made.list_changed(stores, confirmed=True)
     return made, desk
 
 
 def task(
-    desk: Desk,
+    desk: Runtime,
     shard: int | None = 0,
     units: float = 2.0,
     category: Category = IDEMPOTENT,
