--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -31,13 +31,13 @@
     """Every task goes out when it comes, to the store that holds its data (a new object to each store in turn),
     and once more after a quick failure where that does no harm. Nothing is held, nothing refused but for a drain."""
 
-    def __init__(self, facts: Facts, seed: int, desk: Runtime) -> None:
-        self.facts, self.desk = facts, desk
+    def __init__(self, facts: Facts, seed: int, runtime: Runtime) -> None:
+        self.facts, self.runtime = facts, runtime
         self.by_shard: dict[int, Store] = {}
         self.next_new = seed
         self.asks = 0
         if facts.listing.must_ask:
-            desk.request_store_list()
+            runtime.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
         ready = [store for store in stores if store.state is StoreState.READY]
@@ -47,7 +47,7 @@
         """Baselines keep to what is theirs: they neither ask nor give."""
 
     def list_failed(self) -> None:
-        self.desk.call_at(self.desk.now + 10_000, self.desk.request_store_list)
+        self.runtime.call_at(self.runtime.now + 10_000, self.runtime.request_store_list)
 
     def store_for(self, task: Task) -> Store | None:
         if task.shard is not None:
@@ -57,12 +57,12 @@
         return self.by_shard[shards[self.next_new % len(shards)]] if shards else None
 
     def serve(self, task: Task) -> TaskGenerator:
-        while task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline:
+        while task.hand_offs < self.facts.allowed.hand_offs and self.runtime.now < task.deadline:
             store = self.store_for(task)
             if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.IDEMPOTENT:
                 break
             task.hand_offs += 1
-            sent, outcome = self.desk.now, (yield HandOff(store))
+            sent, outcome = self.runtime.now, (yield HandOff(store))
             assert isinstance(outcome, Outcome)
             if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                 return
@@ -83,8 +83,8 @@
 
     WINDOW = 8
 
-    def __init__(self, facts: Facts, seed: int, desk: Runtime) -> None:
-        super().__init__(facts, seed, desk)
+    def __init__(self, facts: Facts, seed: int, runtime: Runtime) -> None:
+        super().__init__(facts, seed, runtime)
         self.out: dict[Store, int] = {}
         self.lines: dict[Store, deque[Task]] = {}
 
@@ -102,10 +102,10 @@
     def pass_on(self, store: Store) -> None:
         """Whoever is next at the store has its turn."""
         if line := self.lines.get(store):
-            self.desk.wake(line.popleft(), WakeReason.GRANTED)
+            self.runtime.wake(line.popleft(), WakeReason.GRANTED)
 
     def serve(self, task: Task) -> TaskGenerator:
-        while task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline:
+        while task.hand_offs < self.facts.allowed.hand_offs and self.runtime.now < task.deadline:
             store = self.store_for(task)
             if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.IDEMPOTENT:
                 break
@@ -116,7 +116,7 @@
                 continue
             self.out[store] = self.out.get(store, 0) + 1
             task.hand_offs += 1
-            sent, outcome = self.desk.now, (yield HandOff(store))
+            sent, outcome = self.runtime.now, (yield HandOff(store))
             assert isinstance(outcome, Outcome)
             self.out[store] -= 1
             self.pass_on(store)
@@ -132,20 +132,20 @@
 
     SECOND = 10_000
 
-    def __init__(self, facts: Facts, seed: int, desk: Runtime) -> None:
-        super().__init__(facts, seed, desk)
+    def __init__(self, facts: Facts, seed: int, runtime: Runtime) -> None:
+        super().__init__(facts, seed, runtime)
         self.level: dict[Volume, tuple[float, int]] = {}
 
     def serve(self, task: Task) -> TaskGenerator:
         rate = task.volume.plan.rate / self.SECOND / max(task.volume.gateways, 1)
         depth = rate * self.SECOND + self.facts.sizes.largest
-        level, at = self.level.get(task.volume, (depth, self.desk.now))
-        level = min(level + rate * (self.desk.now - at), depth) - task.units
-        self.level[task.volume] = level, self.desk.now
+        level, at = self.level.get(task.volume, (depth, self.runtime.now))
+        level = min(level + rate * (self.runtime.now - at), depth) - task.units
+        self.level[task.volume] = level, self.runtime.now
         if level < 0:
-            ready = self.desk.now + int(-level / rate) + 1
+            ready = self.runtime.now + int(-level / rate) + 1
             if ready >= task.deadline:
-                self.level[task.volume] = level + task.units, self.desk.now
+                self.level[task.volume] = level + task.units, self.runtime.now
                 yield self.final(task)
                 return
             yield Wait(ready)
@@ -157,8 +157,8 @@
 
     QUANTUM = 4.0  # units that a volume gains in a round
 
-    def __init__(self, facts: Facts, seed: int, desk: Runtime) -> None:
-        super().__init__(facts, seed, desk)
+    def __init__(self, facts: Facts, seed: int, runtime: Runtime) -> None:
+        super().__init__(facts, seed, runtime)
         self.rings: dict[Store, dict[Volume, deque[Task]]] = {}
         self.deficits: dict[tuple[Store, Volume], float] = {}
 
@@ -187,7 +187,7 @@
             if self.deficits.get(key, 0.0) >= first.units:
                 self.deficits[key] -= first.units
                 self._take(store, volume, first)
-                self.desk.wake(first, WakeReason.GRANTED)
+                self.runtime.wake(first, WakeReason.GRANTED)
                 return
             self.deficits[key] = self.deficits.get(key, 0.0) + self.QUANTUM
             ring[volume] = ring.pop(volume)  # to the end of the ring
--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -55,7 +55,7 @@
     def __init__(
         self,
         store: Store,
-        desk: Runtime,
+        runtime: Runtime,
         rate: float,
         least: float,
         usual: float,
@@ -64,7 +64,7 @@
         waits: Waits,
         gateways: int,
     ) -> None:
-        super().__init__(store, desk, rate, least, usual, tightest, waits, gateways)
+        super().__init__(store, runtime, rate, least, usual, tightest, waits, gateways)
         self.young, self.round_set, self.starved = young, False, False  # starved: tokens or bound held back
         self.lines, self.holding = dict[Volume, Line](), list[Line]()  # holding: with held tasks, in order
         # Of the others: those whose balance is full (`has` for a token earned), when more will be, those that
@@ -75,10 +75,10 @@
         self.earn = self.full_earn = self.has = self.paid = 0.0  # paid: all slices so far, of one line
         self.count = self.notes = self.first = 0  # first: where the next round of slices starts
         self.bucket, self.out, self.tokens_out, self.held, self.held_tokens = 0.0, 0, 0.0, 0, 0.0
-        self.accrued = self.reset_at = desk.now
+        self.accrued = self.reset_at = runtime.now
 
     def usable(self) -> bool:
-        return self.store.state is StoreState.READY and self.desk.now >= self.resting
+        return self.store.state is StoreState.READY and self.runtime.now >= self.resting
 
     def fits(self, task: Task, cost: float) -> bool:
         if not self.usable() or self.out >= MOST_OUT:
@@ -86,23 +86,23 @@
         if self.out and self.tokens_out + cost > self.bound():
             self.starved = True
             return False
-        return not self.young or self.young.room(self.store, self.desk.now, task.units, self.proof)
+        return not self.young or self.young.room(self.store, self.runtime.now, task.units, self.proof)
 
     def asked(self, line: Line, units: float, rate: float) -> None:
         """A first try has come. For a young store it counts within what its volume was sized for, `rate`."""
         if self.young:
-            self.young.budget.asked.add(self.desk.now, units)
-        if self.young and (part := self.young.bears(self.store, self.desk.now, self.proof)):
+            self.young.budget.asked.add(self.runtime.now, units)
+        if self.young and (part := self.young.bears(self.store, self.runtime.now, self.proof)):
             most = max(rate * self.young.rule.span, self.young.largest)
-            sized = min(line.sized + rate * (self.desk.now - line.asked_at), most)
-            line.asked_at, line.sized, counts = self.desk.now, max(sized - units, 0.0), min(units, sized)
+            sized = min(line.sized + rate * (self.runtime.now - line.asked_at), most)
+            line.asked_at, line.sized, counts = self.runtime.now, max(sized - units, 0.0), min(units, sized)
             self.young.budget.plans_rate += rate - line.plans_rate
             line.plans_rate = rate
             # With no queue there all send it less than its power, which is that much under what it bears. One
             # that answers at once whatever it gets shows no queue either: `earn` bounds this by its budget.
-            clear = bool(self.lags) and self.lags[-1][0] >= self.desk.now - FRESH and self.gap() > 0
+            clear = bool(self.lags) and self.lags[-1][0] >= self.runtime.now - FRESH and self.gap() > 0
             earned = BY_ASKED * part * counts * (self.young.rule.multiple if clear else 1)
-            self.young.earn(earned, self.desk.now, part)
+            self.young.earn(earned, self.runtime.now, part)
 
     def hold(self, line: Line, task: Task) -> None:
         if not line.held:
@@ -133,7 +133,7 @@
 
     def lull(self, line: Line) -> None:
         self.holding.remove(line)
-        line.at, line.paid, self.late[line] = self.accrued, self.paid, self.desk.now
+        line.at, line.paid, self.late[line] = self.accrued, self.paid, self.runtime.now
         if line.tokens < 0:
             self.owing[line], line.clear_at = None, self.paid - line.tokens
             self.notes += 1
@@ -156,7 +156,7 @@
         self.bucket += line.balance - self.has * line.earns
         self.full[line], line.at, line.full_at = None, self.accrued, 0
         self.full_earn += line.earns
-        while (oldest := next(iter(self.full))).at < self.desk.now - FORGET and oldest not in self.owing:
+        while (oldest := next(iter(self.full))).at < self.runtime.now - FORGET and oldest not in self.owing:
             del self.full[oldest], self.lines[oldest.volume]
             if self.young:
                 self.young.budget.plans_rate -= oldest.plans_rate
@@ -175,8 +175,8 @@
             self.slices()
         if self.held and not self.round_set:
             self.round_set = True
-            self.desk.call_at(
-                max(self.desk.now + ROUND, self.young.due if self.young else 0), self.next_round
+            self.runtime.call_at(
+                max(self.runtime.now + ROUND, self.young.due if self.young else 0), self.next_round
             )
 
     def next_round(self) -> None:
@@ -202,7 +202,7 @@
         self.first = (self.first + 1) % max(self.count, 1)
 
     def accrue(self) -> None:
-        span, self.accrued, now = self.desk.now - self.accrued, self.desk.now, self.desk.now
+        span, self.accrued, now = self.runtime.now - self.accrued, self.runtime.now, self.runtime.now
         if self.starved and (gap := self.gap()) > 0:
             # By time and not by outcomes: where few tasks come by, a rate once low would stay low.
             rate = self.rate * (1 + gap * min(span, ROUND) / RISE)
@@ -241,13 +241,13 @@
     def grant(self, line: Line, cost: float) -> None:
         task = line.held.popleft()
         self.held, self.held_tokens, self.changes = self.held - 1, self.held_tokens - cost, self.changes + 1
-        self.out, self.tokens_out, self.sent[task] = self.out + 1, self.tokens_out + cost, self.desk.now
-        self.grants.append((self.desk.now, cost))
+        self.out, self.tokens_out, self.sent[task] = self.out + 1, self.tokens_out + cost, self.runtime.now
+        self.grants.append((self.runtime.now, cost))
         if self.young:
             self.young.credit -= task.units
         if not line.held:
             self.lull(line)
-        self.desk.wake(task, WakeReason.GRANTED)
+        self.runtime.wake(task, WakeReason.GRANTED)
 
     def release(self, cost: float) -> None:
         self.out, self.tokens_out = self.out - 1, self.tokens_out - cost
@@ -259,13 +259,13 @@
         self.release(cost_of(task))
 
     def learn(self, task: Task, outcome: Outcome) -> None:
-        now, cost, sent = self.desk.now, cost_of(task), self.sent.pop(task)
+        now, cost, sent = self.runtime.now, cost_of(task), self.sent.pop(task)
         long = outcome.kind is OutcomeKind.TIMED_OUT and outcome.latency >= PATIENCE * self.lag(task.units)
         lost = long and sent < self.proof  # guards against short patience and slow nodes, which look like it
         self.changes, self.waits.lost = self.changes + 1, now + LOSING if lost else self.waits.lost
         if outcome.kind is OutcomeKind.TIMED_OUT and not lost:
             # Guards against work that goes on at the store after its client left: it stays on the books.
-            self.desk.call_at(now + self.tightest, lambda: self.release(cost))
+            self.runtime.call_at(now + self.tightest, lambda: self.release(cost))
         else:
             self.heard, self.out, self.tokens_out = now, self.out - 1, self.tokens_out - cost
         if outcome.kind not in (OutcomeKind.NOT_EXECUTED, OutcomeKind.CANCELLED):
@@ -300,4 +300,4 @@
             if self.young and self.troubles > 1:
                 self.young.suspected, self.young.at, self.young.credit = now, now, min(self.young.credit, 0.0)
             self.resting = now + PAUSE * min(self.troubles, 5)
-            self.desk.call_at(self.resting, self.round)
+            self.runtime.call_at(self.resting, self.round)
--- a/tansykeel/brain/rates.py
+++ b/tansykeel/brain/rates.py
@@ -50,7 +50,7 @@
     def __init__(
         self,
         store: Store,
-        desk: Runtime,
+        runtime: Runtime,
         rate: float,
         least: float,
         usual: float,
@@ -58,9 +58,9 @@
         waits: Waits,
         gateways: int,
     ) -> None:
-        self.store, self.desk, self.waits = store, desk, waits
+        self.store, self.runtime, self.waits = store, runtime, waits
         self.rate, self.least, self.usual, self.tightest = rate, least, usual, tightest
-        self.floor, self.heard = LEAST_RATE * usual / tightest / max(gateways, 1), desk.now
+        self.floor, self.heard = LEAST_RATE * usual / tightest / max(gateways, 1), runtime.now
         self.sent: dict[Task, int] = {}  # hand-offs out, in order, with their times
         self.grants: deque[tuple[int, float]] = deque(maxlen=SAMPLES)  # the last hand-offs: when, tokens
         self.lags: deque[tuple[int, int, float]] = deque(maxlen=SAMPLES)  # when, lag, units
@@ -69,14 +69,14 @@
         self.resting = self.fell = self.troubles = self.proof = 0  # proof: when the last answered was sent
 
     def sample(self, lag: int, units: float) -> None:
-        self.lags.append((self.desk.now, lag, units))
+        self.lags.append((self.runtime.now, lag, units))
         self.changes += 1
         times = sorted([lag / units for _, lag, units in self.lags])
         self.unit = times[len(times) // 4]  # tenths that a unit takes here when nothing waits
 
     def queueing(self) -> float:
         """Time that the last hand-offs waited; without fresh ones the middle of others (design: average)."""
-        now = self.desk.now
+        now = self.runtime.now
         if self.seen != (seen := (now, self.changes, self.waits.changes)):
             self.seen = seen
             # Silence tells of a node that stands still; where a later answer came, the one missing is lost.
@@ -97,7 +97,7 @@
 
     def free(self) -> bool:
         """Whether a fresh sample, of this node or another, shows a lag under its target."""
-        return self.waits.newest >= self.desk.now - FRESH and self.gap() > 0
+        return self.waits.newest >= self.runtime.now - FRESH and self.gap() > 0
 
     def bound(self) -> float:
         """Tokens that may be out; one largest task, but not where many gateways' would keep a queue full."""
@@ -106,7 +106,7 @@
 
     def fall(self, part: float, rest: int) -> None:
         """Lower the rate, once in the time that a step shows, from a few times its use: all must feel it."""
-        if self.desk.now >= self.fell:
-            used = sum(cost for at, cost in self.grants if at >= self.desk.now - SECOND) / SECOND
+        if self.runtime.now >= self.fell:
+            used = sum(cost for at, cost in self.grants if at >= self.runtime.now - SECOND) / SECOND
             self.rate = max(min(self.rate, USE * used) * (1 - part), self.floor)
-            self.fell = self.desk.now + rest
+            self.fell = self.runtime.now + rest
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -39,19 +39,19 @@
 
 
 class Scheduler:
-    def __init__(self, facts: Facts, seed: int, desk: Runtime) -> None:
-        self.facts, self.desk, self.chance, self.born = facts, desk, random.Random(seed), desk.now
+    def __init__(self, facts: Facts, seed: int, runtime: Runtime) -> None:
+        self.facts, self.runtime, self.chance, self.born = facts, runtime, random.Random(seed), runtime.now
         self.new: bool | None = None  # whether all gateways are, where another has said so
         if facts.allowed.peers:
-            desk.call_at(desk.now, lambda: desk.send_to_peer(None, PeerMessage(None, 0.0, False)))
+            runtime.call_at(runtime.now, lambda: runtime.send_to_peer(None, PeerMessage(None, 0.0, False)))
         self.tightest = min(category.soft_limit for category in facts.categories)
         self.least, self.usual = max(facts.sizes.largest, 1.0), max(facts.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
         self.waits, self.keys, self.asks, self.rank_due = Waits(), dict[int, KeyLine](), 0, 0
-        self.extras = Extras(facts.budget, desk.now) if facts.budget else None
+        self.extras = Extras(facts.budget, runtime.now) if facts.budget else None
         self.patience: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
         if facts.listing.must_ask:
-            desk.request_store_list()
+            runtime.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
         self.asks = 0 if confirmed else self.asks
@@ -61,7 +61,7 @@
                 young = Young(cold, gateways, self.facts.me, self.least) if cold else None
                 self.nodes[store] = Node(
                     store,
-                    self.desk,
+                    self.runtime,
                     self.average_rate(),
                     self.least,
                     self.usual,
@@ -71,7 +71,7 @@
                     gateways,
                 )
         for node in [n for n in self.nodes.values() if n.store.state is StoreState.GONE]:
-            if not node.out and not node.held and self.desk.now - node.heard >= LEFT:
+            if not node.out and not node.held and self.runtime.now - node.heard >= LEFT:
                 del self.nodes[node.store]
                 self.waits.seen.pop(node.store, None)
         self.by_shard = {}
@@ -87,24 +87,24 @@
                 node.round()
                 continue
             for task in [task for line in node.lines.values() for task in line.held]:
-                self.desk.wake(task, WakeReason.RECHECK)
+                self.runtime.wake(task, WakeReason.RECHECK)
 
     def list_failed(self) -> None:
         # Guards against news that whoever pushes holds: it counts as told, and calls there cost nothing.
         wait = min(SECOND * 2**self.asks, TOLD // 3) if self.facts.listing.must_ask else ANEW
         self.asks += 1
-        self.desk.call_at(
-            self.desk.now + int(self.chance.uniform(0.5, 1.5) * wait), self.desk.request_store_list
+        self.runtime.call_at(
+            self.runtime.now + int(self.chance.uniform(0.5, 1.5) * wait), self.runtime.request_store_list
         )
 
     def average_rate(self) -> float:
         """What a new node counts as; before any was heard, the rate that fills the least bound."""
-        heard = [n.rate for n in self.nodes.values() if n.lags and self.desk.now - n.lags[-1][0] < STALE]
+        heard = [n.rate for n in self.nodes.values() if n.lags and self.runtime.now - n.lags[-1][0] < STALE]
         return sum(heard) / len(heard) if heard else self.least / (self.tightest * AIM_PART)
 
     def rank(self) -> None:
         """Order the nodes for new objects by the time a task would spend there, failures counted in."""
-        self.rank_due = self.desk.now + RANKING
+        self.rank_due = self.runtime.now + RANKING
 
         def dwell(node: Node) -> float:
             failing = node.ends.count(False) / max(len(node.ends), 1)
@@ -116,7 +116,7 @@
     def node_for(self, task: Task) -> Node | None:
         if task.shard is not None:
             return self.by_shard.get(task.shard)
-        if self.desk.now >= self.rank_due:
+        if self.runtime.now >= self.rank_due:
             self.rank()
         for node in self.ranked:
             if node.usable() and node.held_tokens + node.tokens_out + cost_of(task) <= node.bound() / 2:
@@ -125,7 +125,7 @@
 
     def serve(self, task: Task) -> Generator[TaskAction, WakeReason | Outcome | None, None]:
         """The ordinary path: find the node, wait for the turn, hand off, judge the outcome."""
-        now, state, aim = self.desk.now, self.state_of(task.volume), self.aim_of(task)
+        now, state, aim = self.runtime.now, self.state_of(task.volume), self.aim_of(task)
         if late := aim <= now:  # worth little any more: it goes only where nothing waits
             aim = min(now + task.category.soft_limit, task.deadline)
         if self.extras:
@@ -144,11 +144,11 @@
                     node.asked(line, task.units, rate)
                 latest = aim - int(min(node.lag(task.units) * MARGIN, (aim - now) * MOST_MARGIN))
                 wait = self.limit_wait(task, state)
-                if self.desk.now + wait >= latest:
+                if self.runtime.now + wait >= latest:
                     break
                 if wait:
                     state.short[task] = None
-                    yield Wait(self.desk.now + wait)
+                    yield Wait(self.runtime.now + wait)
                     state.short.pop(task, None)
                     continue
                 node.hold(line, task)
@@ -163,7 +163,7 @@
                     node.recall(task)
                     continue
                 self.spend(task, line, state)
-                sent, outcome = self.desk.now, (yield HandOff(node.store, self.time_out(task, node, aim)))
+                sent, outcome = self.runtime.now, (yield HandOff(node.store, self.time_out(task, node, aim)))
                 assert isinstance(outcome, Outcome)
                 node.learn(task, outcome)
                 if outcome.kind is OutcomeKind.DELIVERED and (
@@ -173,14 +173,14 @@
                     None,
                     None,
                 ):
-                    state.tell(task.units, outcome, task.volume.plan, self.desk.now)
+                    state.tell(task.units, outcome, task.volume.plan, self.runtime.now)
                 if not outcome.never_ran:
                     task.may_have_run.append((node.store, sent))
                     if (
                         outcome.kind in (OutcomeKind.TIMED_OUT, OutcomeKind.RESET, OutcomeKind.CANCELLED)
                         and task.key in self.keys
                     ):
-                        self.keys[task.key].rests_until = self.desk.now + self.facts.key_rest
+                        self.keys[task.key].rests_until = self.runtime.now + self.facts.key_rest
                 node.round()
                 if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                     return
@@ -193,7 +193,7 @@
 
     def time_out(self, task: Task, node: Node, aim: int) -> int:
         """After what time a harmless task goes again, if answers are lost and it can be in time, else 0."""
-        now, may, sure = self.desk.now, self.facts.allowed, task.category.repeat is RepeatSafety.IDEMPOTENT
+        now, may, sure = self.runtime.now, self.facts.allowed, task.category.repeat is RepeatSafety.IDEMPOTENT
         if task.hand_offs != 1 or not (sure and (may.cancel or may.copies)) or now >= self.waits.lost:
             return 0
         patience = max(PATIENCE * (lag := int(node.lag(task.units))), self.tightest // 2)
@@ -202,9 +202,9 @@
     def aim_of(self, task: Task) -> int:
         """When the soft limit ends, from the first try: less time left than usual tells of an earlier one."""
         times = self.patience.setdefault(task.category, deque(maxlen=SAMPLES))
-        times.append(task.deadline - self.desk.now)
+        times.append(task.deadline - self.runtime.now)
         age = max(times) - times[-1] if times[-1] >= task.category.soft_limit else 0
-        return min(self.desk.now + task.category.soft_limit - age, task.deadline)
+        return min(self.runtime.now + task.category.soft_limit - age, task.deadline)
 
     def line_of(self, node: Node, volume: Volume) -> Line:
         if volume not in node.lines:
@@ -217,7 +217,7 @@
         if volume.state is None:
             plan, hosts = volume.plan, volume.gateways if volume.gateways >= 1 else self.facts.gateways
             shares = (
-                self.desk.shares if hosts == self.facts.gateways else EvenShares()
+                self.runtime.shares if hosts == self.facts.gateways else EvenShares()
             )  # views divide among all
             limit, depth = plan.limit / SECOND / hosts, plan.limit_depth / hosts
             volume.state = VolumeState(hosts, limit, depth, self.born, shares)
@@ -227,7 +227,7 @@
         if not task.hand_offs:
             state.units -= task.units
         elif self.extras:
-            self.extras.extras.append(self.desk.now)
+            self.extras.extras.append(self.runtime.now)
         task.hand_offs += 1
         state.send(line, task.units)
         total = state.total / state.part(self.usual)
@@ -236,7 +236,7 @@
 
     def limit_wait(self, task: Task, state: VolumeState) -> int:
         """Tenths until the limit has a first hand-off's units. A part starts empty, in a new fleet full."""
-        now = self.desk.now
+        now = self.runtime.now
         if not state.started and self.new is not None and now >= self.born + ASK:
             state.started = True
             state.fill(now, state.depth if self.new else 0.0)
@@ -248,7 +248,7 @@
 
     def ask(self, volume: Volume, state: VolumeState) -> int:
         """Ask some gateways of the volume for units, all while some are unknown; how long that may take."""
-        now = self.desk.now
+        now = self.runtime.now
         if not self.facts.allowed.peers or state.hosts <= 1:
             return 0
         if now >= state.ask_due:
@@ -260,32 +260,32 @@
                 some, state.all_due = [None], now + ALL
             for peer in some:
                 each = state.wish / (state.hosts - 1 if peer is None else len(some))
-                self.desk.send_to_peer(peer, PeerMessage(volume, each, False))
+                self.runtime.send_to_peer(peer, PeerMessage(volume, each, False))
         return max(state.asked + ASK - now, 0)
 
     def heard(self, peer: int, word: PeerMessage) -> None:
         """Another gateway gives units, asks for some (half at most; none where no task came) or greets."""
         if word.volume is None:
-            if not (long := self.desk.now >= self.born + NEW):
+            if not (long := self.runtime.now >= self.born + NEW):
                 self.new = self.new is not False and not word.units
             if not word.is_grant:
-                self.desk.send_to_peer(peer, PeerMessage(None, float(long), True))
+                self.runtime.send_to_peer(peer, PeerMessage(None, float(long), True))
         elif (state := word.volume.state) is not None:
-            state.fill(self.desk.now, word.units if word.is_grant else 0.0)
+            state.fill(self.runtime.now, word.units if word.is_grant else 0.0)
             gift = min(word.units, max(state.units, 0.0) / 2)
             if word.is_grant:
                 state.got += word.units
                 for task in state.short:
-                    self.desk.wake(task, WakeReason.RECHECK)
+                    self.runtime.wake(task, WakeReason.RECHECK)
             elif gift >= 1 or peer not in state.peers:
                 state.units -= gift
-                self.desk.send_to_peer(peer, PeerMessage(word.volume, gift, True))
+                self.runtime.send_to_peer(peer, PeerMessage(word.volume, gift, True))
             state.peers[peer] = None
 
     def may_hand_off(self, task: Task) -> bool:
         """Whether a (further) hand-off is legal now, wherever it goes."""
-        may = task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline
-        may = may and (not task.hand_offs or not self.extras or self.extras.room(self.desk.now))
+        may = task.hand_offs < self.facts.allowed.hand_offs and self.runtime.now < task.deadline
+        may = may and (not task.hand_offs or not self.extras or self.extras.room(self.runtime.now))
         return may and not (task.may_have_run and task.category.repeat is RepeatSafety.AT_MOST_ONCE)
 
     def in_group(self, task: Task, store: Store) -> bool:
@@ -294,7 +294,7 @@
             return True
         (first, sent), scope = task.may_have_run[0], task.category.scope
         near = store.zone == first.zone if scope is DeduplicationScope.ZONE else store.shard == first.shard
-        return (scope is DeduplicationScope.ALL or near) and self.desk.now < sent + task.category.window
+        return (scope is DeduplicationScope.ALL or near) and self.runtime.now < sent + task.category.window
 
     def final(self, task: Task) -> TaskAction:
         """The answer of a task given up on: a nack wherever its promise holds."""
@@ -309,8 +309,8 @@
         """Wait until the task is first on its key and the key has rested; False if that comes too late."""
         line = self.keys.setdefault(task.key, KeyLine(self.born + self.facts.key_rest))  # of an earlier life
         line.tasks.append(task)
-        while line.tasks[0] is not task or self.desk.now < line.rests_until:
-            if self.desk.now >= aim:
+        while line.tasks[0] is not task or self.runtime.now < line.rests_until:
+            if self.runtime.now >= aim:
                 return False
             yield Wait(min(line.rests_until, aim) if line.tasks[0] is task else aim)
         return True
@@ -319,6 +319,6 @@
         if task.category.ordered and (line := self.keys.get(task.key)) and task in line.tasks:
             line.tasks.remove(task)
             if line.tasks:
-                self.desk.wake(line.tasks[0], WakeReason.RECHECK)
-            elif self.desk.now >= line.rests_until:
+                self.runtime.wake(line.tasks[0], WakeReason.RECHECK)
+            elif self.runtime.now >= line.rests_until:
                 del self.keys[task.key]
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -56,8 +56,8 @@
         self.used: dict[object, tuple[int, float]] = {}  # by volume's name: its second, units sent in it
         self.allowed: dict[object, tuple[float, int]] = {}  # by volume's name: what its limit has left, when
 
-    def __call__(self, facts: Facts, seed: int, desk: Runtime) -> TrueView:
-        return TrueView(self, facts, seed, desk)
+    def __call__(self, facts: Facts, seed: int, runtime: Runtime) -> TrueView:
+        return TrueView(self, facts, seed, runtime)
 
     def power(self, store: SimStore) -> float:
         """Part of its full power that a store has now; none while it stands still."""
@@ -135,15 +135,15 @@
 
 
 class TrueView(SendAtOnce):
-    def __init__(self, eye: Eye, facts: Facts, seed: int, desk: Runtime) -> None:
-        super().__init__(facts, seed, desk)
+    def __init__(self, eye: Eye, facts: Facts, seed: int, runtime: Runtime) -> None:
+        super().__init__(facts, seed, runtime)
         self.eye = eye
-        self.extras = Extras(facts.budget, desk.now) if facts.budget else None
+        self.extras = Extras(facts.budget, runtime.now) if facts.budget else None
 
     def turn(self, task: Task) -> None:
         """The gateway may be another than the one whose event led to this: it is told by an event of its own."""
         gateway = self.eye.gateways[self.facts.me]
-        self.desk.wake(task, WakeReason.GRANTED)
+        self.runtime.wake(task, WakeReason.GRANTED)
         gateway.engine.after(0, gateway.tell, gateway.life, self.look)
 
     def look(self) -> None:
@@ -160,29 +160,31 @@
         return min(found, key=lambda pair: self.eye.out[pair[1]] + len(self.eye.waiting[pair[1]]), default=None)
 
     def serve(self, task: Task) -> TaskGenerator:
-        now = self.desk.now
+        now = self.runtime.now
         aim = min(now + task.category.soft_limit, task.deadline - 1)
         if self.extras is not None:
             self.extras.taken.append(now)
         allowed = self.facts.allowed.hand_offs
-        while self.desk.now < aim and task.hand_offs < allowed:
+        while self.runtime.now < aim and task.hand_offs < allowed:
             found = self.true_store(task)
             if found is None:
-                yield Wait(min(self.desk.now + LOOK, aim))
+                yield Wait(min(self.runtime.now + LOOK, aim))
                 continue
             store, true = found
             seat = Seat(task, self, aim)
             try:
                 self.eye.waiting[true].append(seat)
                 self.eye.pass_on(true)
-                while not seat.granted and self.desk.now < aim and store.state is StoreState.READY and true.listening:
-                    yield Wait(min(self.desk.now + LOOK, aim))
+                while (
+                    not seat.granted and self.runtime.now < aim and store.state is StoreState.READY and true.listening
+                ):
+                    yield Wait(min(self.runtime.now + LOOK, aim))
                 if not seat.granted or store.state is not StoreState.READY:
                     continue
                 if task.hand_offs and self.extras is not None:
-                    self.extras.extras.append(self.desk.now)
+                    self.extras.extras.append(self.runtime.now)
                 task.hand_offs += 1
-                sent, outcome = self.desk.now, (yield HandOff(store))
+                sent, outcome = self.runtime.now, (yield HandOff(store))
                 assert isinstance(outcome, Outcome)
             finally:
                 self.eye.leave(true, seat)
@@ -192,6 +194,6 @@
                 task.may_have_run.append((store, sent))
                 if task.category.repeat is not RepeatSafety.IDEMPOTENT:
                     break
-            if self.extras is not None and not self.extras.room(self.desk.now):
+            if self.extras is not None and not self.extras.room(self.runtime.now):
                 break
         yield self.final(task)
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -38,9 +38,9 @@
     assert young.room(at, 1_000 + 190_000, 1e6, 0)
 
 
-def asked_of(brain, desk, node, volume, units=2.0, shard=0):
+def asked_of(brain, runtime, node, volume, units=2.0, shard=0):
     """A first try that is held, as `serve` does it; returns what it earned at the node."""
-    before, new = node.young.credit, task(desk, units=units, shard=shard)
+    before, new = node.young.credit, task(runtime, units=units, shard=shard)
     new.volume = volume
     run = brain.serve(new)
     next(run)
@@ -59,13 +59,13 @@
 def test_what_is_asked_of_a_young_store_earns_the_part_that_it_bears(clear, age, part):
     """Guards against gateways that were restarted: they know of no past use, and sent a new store next to nothing."""
     at = store(started=1_000_000 - age)
-    brain, desk = scheduler([at], cold=replace(COLD, always_safe=0.0))
+    brain, runtime = scheduler([at], cold=replace(COLD, always_safe=0.0))
     node = brain.nodes[at]
     if clear:
         heard(node, 100, 100)
-    node.young.room(at, desk.now, 8.0, 0)
+    node.young.room(at, runtime.now, 8.0, 0)
     node.out = 99  # nothing leaves
-    earned = asked_of(brain, desk, node, Volume("v", replace(PLAN, rate=100.0)))
+    earned = asked_of(brain, runtime, node, Volume("v", replace(PLAN, rate=100.0)))
     assert earned == pytest.approx(2.0 * part, rel=0.01)
 
 
@@ -73,16 +73,16 @@
     """It answers as quickly as a warm one although it bears less; its volume asks for what it does when warm."""
     asked_per_second, units = 200, 2.0
     at = store(started=1_000_000 - 100)
-    brain, desk = scheduler([at], cold=replace(COLD, always_safe=0.0))
+    brain, runtime = scheduler([at], cold=replace(COLD, always_safe=0.0))
     node, volume = brain.nodes[at], Volume("v", replace(PLAN, rate=asked_per_second * units))
-    node.young.room(at, desk.now, 8.0, 0)
+    node.young.room(at, runtime.now, 8.0, 0)
     node.out = 99  # nothing leaves
     earned = 0.0
     for _ in range(asked_per_second):
         heard(node, 100)
         node.young.credit = 0.0
-        earned += asked_of(brain, desk, node, volume, units)
-        desk.now += COLD.span // asked_per_second
+        earned += asked_of(brain, runtime, node, volume, units)
+        runtime.now += COLD.span // asked_per_second
     allowed = COLD.multiple * COLD.share * asked_per_second
     assert earned / units <= allowed + 2 * math.sqrt(allowed) + 2
 
@@ -90,11 +90,11 @@
 def test_a_further_try_earns_nothing_and_a_surge_no_more_than_the_volume_is_sized_for():
     """Guards against a store pushed over by what comes again, or by volumes that ask for many times their rate."""
     at = store(started=999_000)
-    brain, desk = scheduler([at], cold=replace(COLD, always_safe=0.0), gateways=4)
+    brain, runtime = scheduler([at], cold=replace(COLD, always_safe=0.0), gateways=4)
     node, volume = brain.nodes[at], Volume("v", replace(PLAN, rate=4.0), gateways=2.0)
-    node.young.room(at, desk.now, 8.0, 0)
+    node.young.room(at, runtime.now, 8.0, 0)
     node.young.largest, node.out = 1e9, 99
-    again = task(desk)
+    again = task(runtime)
     again.again = True
     next(brain.serve(again))
     assert node.young.credit == 0
@@ -102,22 +102,22 @@
     earned = 0.0
     for _ in range(100):  # 200 units in a second
         node.young.credit = 0.0
-        earned += asked_of(brain, desk, node, volume)
-        desk.now += 100
+        earned += asked_of(brain, runtime, node, volume)
+        runtime.now += 100
     # One largest task at once and a second of what it is sized for, of which this gateway has half.
     assert earned == pytest.approx(BY_ASKED * 2.5 * 0.2 * (8.0 + 2.0), rel=0.05)
 
 
 def test_a_volume_on_two_shards_counts_with_half_of_its_rate_at_each():
     stores = [store(started=999_000, shard=0), store(started=999_000, shard=1)]
-    brain, desk = scheduler(stores, cold=replace(COLD, always_safe=0.0, span=100))
+    brain, runtime = scheduler(stores, cold=replace(COLD, always_safe=0.0, span=100))
     volume = Volume("v", replace(PLAN, rate=100.0), gateways=1.0)
     for at in stores:
         brain.nodes[at].out = 99
-        asked_of(brain, desk, brain.nodes[at], volume, shard=at.shard)
+        asked_of(brain, runtime, brain.nodes[at], volume, shard=at.shard)
     line = brain.nodes[stores[1]].lines[volume]
-    line.sized, desk.now = 0.0, desk.now + 1_000
-    asked_of(brain, desk, brain.nodes[stores[1]], volume, units=1.0, shard=1)
+    line.sized, runtime.now = 0.0, runtime.now + 1_000
+    asked_of(brain, runtime, brain.nodes[stores[1]], volume, units=1.0, shard=1)
     assert line.sized == pytest.approx(5.0 - 1.0)
 
 
@@ -135,17 +135,17 @@
 def test_no_round_before_a_task_could_find_room_at_a_cold_node():
     """Guards against a round each 10 ms, for every gateway and node, that can send nothing."""
     at = store(started=999_000)
-    brain, desk = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
-    node.young.room(at, desk.now, 2.0, 0)
+    node.young.room(at, runtime.now, 2.0, 0)
     node.young.credit = 2.0 * node.young.phase - 0.03
-    again = task(desk)
+    again = task(runtime)
     again.again = True  # it earns nothing
     run = brain.serve(again)
     next(run)
-    assert node.held == 1 and desk.now + 100 < node.young.due < desk.now + 1_000
-    assert min(moment for moment, call in desk.alarms if call == node.next_round) == node.young.due
-    desk.now = node.young.due
+    assert node.held == 1 and runtime.now + 100 < node.young.due < runtime.now + 1_000
+    assert min(moment for moment, call in runtime.alarms if call == node.next_round) == node.young.due
+    runtime.now = node.young.due
     node.next_round()
     assert node.held == 0
 
@@ -153,16 +153,16 @@
 def test_credit_from_before_a_store_was_found_out_of_reach_is_gone():
     """Guards against all gateways spending at once what they saved while it was away."""
     at = store(started=500_000)
-    brain, desk = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
-    desk.now = 505_000
+    brain, runtime = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    runtime.now = 505_000
     node = brain.nodes[at]
-    node.young.room(at, desk.now, 8.0, 0)
+    node.young.room(at, runtime.now, 8.0, 0)
     assert node.young.credit > 0
     for _ in range(2):
-        sent = task(desk)
-        node.sent[sent] = desk.now
+        sent = task(runtime)
+        node.sent[sent] = runtime.now
         node.learn(sent, outcome(OutcomeKind.NO_CONNECTION))
-    assert node.young.credit == 0 and node.young.at == desk.now
+    assert node.young.credit == 0 and node.young.at == runtime.now
 
 
 @pytest.mark.parametrize(
@@ -175,13 +175,13 @@
 )
 def test_only_a_store_that_stays_out_of_reach_counts_as_just_started(hows, room):
     at = store()
-    brain, desk = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
     for how in hows:
-        sent = task(desk)
-        node.sent[sent] = desk.now
+        sent = task(runtime)
+        node.sent[sent] = runtime.now
         node.learn(sent, outcome(how))
-    assert node.young.room(at, desk.now, 4.1, 0) is room
+    assert node.young.room(at, runtime.now, 4.1, 0) is room
     assert node.usable() is (hows[0] is OutcomeKind.RESET)
 
 
@@ -189,33 +189,33 @@
 def test_a_suspicion_ends_with_an_answer_as_quick_as_before(times, warm):
     """Guards against a cut zone that is throttled as cold for seconds after it healed."""
     at = store()
-    brain, desk = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
     heard(node, 100, 100, 100)
     for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
-        sent = task(desk)
-        node.sent[sent] = desk.now
+        sent = task(runtime)
+        node.sent[sent] = runtime.now
         node.learn(sent, outcome(how))
-    desk.now += 10_000
-    sent = task(desk)
-    node.sent[sent] = desk.now
+    runtime.now += 10_000
+    sent = task(runtime)
+    node.sent[sent] = runtime.now
     node.learn(sent, outcome(OutcomeKind.DELIVERED, lag=int(100 * times)))
-    assert node.young.room(at, desk.now, 1e6, node.proof) is warm
+    assert node.young.room(at, runtime.now, 1e6, node.proof) is warm
 
 
 def test_a_store_that_answers_and_of_which_no_start_was_told_had_not_started():
     """Guards against a cut link that leaves a warm store with what a cold one gets, for all the time of warming."""
     at = store()
-    brain, desk = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
-    node, failed = brain.nodes[at], desk.now
+    brain, runtime = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    node, failed = brain.nodes[at], runtime.now
     for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
-        sent = task(desk)
-        node.sent[sent] = desk.now
+        sent = task(runtime)
+        node.sent[sent] = runtime.now
         node.learn(sent, outcome(how))
     assert not node.young.room(at, failed + 60_000, 1e6, node.proof)  # it has not answered
-    desk.now += 10_000
-    sent = task(desk)
-    node.sent[sent] = desk.now
+    runtime.now += 10_000
+    sent = task(runtime)
+    node.sent[sent] = runtime.now
     node.learn(sent, outcome(OutcomeKind.DELIVERED))
     assert not node.young.room(at, failed + 59_999, 1e6, node.proof)  # a start may still be told
     assert node.young.room(at, failed + 60_000, 1e6, node.proof)
--- a/tests/brain/test_cold_fleet.py
+++ b/tests/brain/test_cold_fleet.py
@@ -38,7 +38,7 @@
 
     node: object
     line: object
-    desk: object
+    runtime: object
     held: deque[int] = field(default_factory=deque)
 
     def ask(self, now, rate):
@@ -63,9 +63,9 @@
     rule = replace(RULE, always_safe=0.7 * budget(capacity, START) * UNITS)
     made = []
     for me in range(gateways):
-        brain, desk = scheduler([store(started=START)], cold=rule, gateways=gateways, me=me)
+        brain, runtime = scheduler([store(started=START)], cold=rule, gateways=gateways, me=me)
         node = next(iter(brain.nodes.values()))
-        made.append(Gateway(node, brain.line_of(node, Volume("v", PLAN)), desk))
+        made.append(Gateway(node, brain.line_of(node, Volume("v", PLAN)), runtime))
     return made
 
 
@@ -84,7 +84,7 @@
     due = float(START)
     for now in range(START, START + seconds * SECOND, ROUND):
         for gateway in made:
-            gateway.desk.now = now
+            gateway.runtime.now = now
         while due <= now:
             chance.choice(made).ask(now, rate)
             due += chance.expovariate(load_at((now - START) / SECOND) * asked_part * capacity / SECOND)
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -48,10 +48,10 @@
     ],
 )
 def test_a_limit_starts_empty_and_never_gives_more_than_this_gateways_part(units, now, wait):
-    brain, desk = scheduler([])
-    state = VolumeState(1.0, limit=0.01, depth=20.0, born=desk.now, shares=desk.shares)
-    desk.now += now
-    assert brain.limit_wait(task(desk, units=units), state) == wait
+    brain, runtime = scheduler([])
+    state = VolumeState(1.0, limit=0.01, depth=20.0, born=runtime.now, shares=runtime.shares)
+    runtime.now += now
+    assert brain.limit_wait(task(runtime, units=units), state) == wait
 
 
 @pytest.mark.parametrize(
@@ -95,9 +95,9 @@
 
 def pass_on(made, volumes):
     """Deliver what was said; what is said to that is left for the next call."""
-    said = [desk.told for _, desk in made]
-    for _, desk in made:
-        desk.told = []
+    said = [runtime.told for _, runtime in made]
+    for _, runtime in made:
+        runtime.told = []
     for me, words in enumerate(said):
         for peer, word in words:
             for number in range(len(made)) if peer is None else [peer]:
@@ -108,9 +108,9 @@
 def test_a_gateway_short_of_a_limit_gets_units_from_the_others_and_none_are_made():
     """Guards against a lead that refuses while the other gateways of its volume keep what nobody asks for."""
     made, volumes, states = of_gateways(0, 1, 2)
-    for (_, desk), state in zip(made, states, strict=True):
-        desk.now += 10_000
-        state.fill(desk.now)
+    for (_, runtime), state in zip(made, states, strict=True):
+        runtime.now += 10_000
+        state.fill(runtime.now)
         state.units, state.started = 6.0, True
     states[0].units = 0.5
     wanted = task(made[0][1], units=8.0, volume=volumes[0])
@@ -132,16 +132,16 @@
 
 def test_an_ask_for_a_volume_that_no_task_here_named_gets_nothing():
     """Guards against a gateway that gives of a part that it does not have."""
-    brain, desk = scheduler([store()], allowed=TALK)
+    brain, runtime = scheduler([store()], allowed=TALK)
     brain.heard(1, PeerMessage(Volume("v", LIMITED, 2.0), 5.0, False))
-    assert desk.told == []
+    assert runtime.told == []
 
 
 @pytest.mark.parametrize("peers, hosts", [(False, 3.0), (True, 1.0)])
 def test_nobody_is_asked_where_gateways_do_not_talk_or_there_is_one(peers, hosts):
-    brain, desk = scheduler([store()], allowed=replace(TALK, peers=peers))
-    run = brain.serve(task(desk, units=8.0, volume=Volume("v", LIMITED, hosts)))
-    assert isinstance(next(run), Nack) and desk.told == []
+    brain, runtime = scheduler([store()], allowed=replace(TALK, peers=peers))
+    run = brain.serve(task(runtime, units=8.0, volume=Volume("v", LIMITED, hosts)))
+    assert isinstance(next(run), Nack) and runtime.told == []
 
 
 GREETING, YOUNG, OLD = PeerMessage(None, 0.0, False), PeerMessage(None, 0.0, True), PeerMessage(None, 1.0, True)
@@ -162,48 +162,48 @@
 )
 def test_a_limit_starts_full_only_where_others_start_too_and_none_has_run_for_long(words, after, units):
     """Guards against a gateway that comes back and spends once more what its earlier self has spent."""
-    brain, desk = scheduler([store()], allowed=TALK)
+    brain, runtime = scheduler([store()], allowed=TALK)
     volume = Volume("v", replace(LIMITED, limit=1e-6), 2.0)
     for word in words:
         brain.heard(1, word)
-    desk.now += after
-    brain.limit_wait(task(desk, volume=volume), brain.state_of(volume))
+    runtime.now += after
+    brain.limit_wait(task(runtime, volume=volume), brain.state_of(volume))
     assert volume.state.units == pytest.approx(units, abs=0.01)
 
 
 @pytest.mark.parametrize("age, answer", [(19_999, YOUNG), (20_000, OLD)])
 def test_the_answer_to_a_greeting_says_whether_a_gateway_has_run_for_long(age, answer):
-    brain, desk = scheduler([store()], allowed=TALK)
-    desk.now += age
+    brain, runtime = scheduler([store()], allowed=TALK)
+    runtime.now += age
     brain.heard(3, GREETING)
     brain.heard(3, YOUNG)  # an answer is not answered
-    assert desk.told == [(3, answer)]
+    assert runtime.told == [(3, answer)]
 
 
 def test_while_little_comes_gateways_are_asked_ever_more_seldom():
     """Guards against a storm of words when a volume has spent its whole limit."""
     made, volumes, states = of_gateways(0, 1)
-    brain, desk = made[0]
+    brain, runtime = made[0]
     states[0].peers[1] = None
     times = []
     for _ in range(2_000):
-        desk.now += 20
+        runtime.now += 20
         states[0].units = 0.0
-        if brain.ask(volumes[0], states[0]) and desk.told:
-            times.append(desk.now)
-            desk.told.clear()
+        if brain.ask(volumes[0], states[0]) and runtime.told:
+            times.append(runtime.now)
+            runtime.told.clear()
     gaps = [later - sooner for sooner, later in zip(times, times[1:], strict=False)]
     assert gaps[0] < gaps[2] < gaps[-1] == 10_000
 
 
 def test_a_limited_volume_is_charged_at_its_first_hand_off_only():
     plan = replace(PLAN, limit=1_000.0, limit_depth=100.0)
-    brain, desk = scheduler([store()], plans=(plan,))
+    brain, runtime = scheduler([store()], plans=(plan,))
     volume = Volume("v", plan, 1.0)
     state = brain.state_of(volume)
-    desk.now += 100_000
-    run = brain.serve(task(desk, units=8.0, volume=volume))
-    turn(run, desk, brain)
+    runtime.now += 100_000
+    run = brain.serve(task(runtime, units=8.0, volume=volume))
+    turn(run, runtime, brain)
     assert state.units == 92.0
     run.send(outcome(OutcomeKind.ERROR))
     run.send(WakeReason.GRANTED)
@@ -212,16 +212,16 @@
 
 def test_held_tasks_of_a_limited_volume_cannot_leave_in_one_burst():
     plan = replace(PLAN, limit=1.0, limit_depth=16.0)
-    brain, desk = scheduler([store()], plans=(plan,))
+    brain, runtime = scheduler([store()], plans=(plan,))
     volume, node = Volume("v", plan, 1.0), next(iter(brain.nodes.values()))
     state = brain.state_of(volume)
     state.units, node.out, node.tokens_out = 10.0, 1, 1e9
-    runs = [brain.serve(task(desk, units=8.0, volume=volume)) for _ in range(2)]
+    runs = [brain.serve(task(runtime, units=8.0, volume=volume)) for _ in range(2)]
     assert all(isinstance(next(run), Wait) for run in runs)
     node.out = node.tokens_out = 0
     node.bucket = 100.0
     node.round()
-    assert len(desk.woken) == 1
+    assert len(runtime.woken) == 1
     assert isinstance(runs[0].send(WakeReason.GRANTED), HandOff) and state.units == 2.0
     node.out = node.tokens_out = 0
     node.round()
--- a/tests/brain/test_rates.py
+++ b/tests/brain/test_rates.py
@@ -22,17 +22,17 @@
 def test_nodes_long_gone_are_let_go():
     """Guards against memory that grows with every store that ever was."""
     stores = [store(shard=0)]
-    brain, desk = scheduler(stores)
+    brain, runtime = scheduler(stores)
     for _ in range(4):
         node = brain.nodes[stores[-1]]
-        sent = task(desk)
-        node.sent[sent] = desk.now
+        sent = task(runtime)
+        node.sent[sent] = runtime.now
         node.learn(sent, outcome(OutcomeKind.DELIVERED))
         node.out = 0
         stores[-1].state = StoreState.GONE
-        stores.append(store(shard=0, started=desk.now))
+        stores.append(store(shard=0, started=runtime.now))
         brain.list_changed(stores, True)
-        desk.now += 200_000
+        runtime.now += 200_000
     assert list(brain.nodes) == stores[-3:]
     assert stores[0] not in brain.waits.seen
 
@@ -40,33 +40,33 @@
 def test_an_answer_that_others_overtook_is_lost_and_says_nothing_of_the_load():
     """Guards against a node whose lost answers pass for slowness: its rate fell, its tasks were refused."""
     at = store()
-    brain, desk = scheduler([at])
+    brain, runtime = scheduler([at])
     node, state = brain.nodes[at], brain.state_of(Volume("v", PLAN, 1.0))
     node.rate = 1.0
-    first, second = task(desk), task(desk)
+    first, second = task(runtime), task(runtime)
     for out in (first, second):
         node.hold(brain.line_of(node, out.volume), out)
-        desk.now += 100
+        runtime.now += 100
         node.round()
     assert state.units == 0.0 and list(node.sent) == [first, second]
     node.learn(second, outcome(OutcomeKind.DELIVERED, 100))
     rate, lags = node.rate, list(node.lags)
-    desk.now += 5_000
+    runtime.now += 5_000
     assert node.queueing() == 0.0  # the node is not silent: it answered what was sent later
     node.learn(first, outcome(OutcomeKind.TIMED_OUT, 5_100))
     assert (node.rate, list(node.lags), node.out) == (rate, lags, 0)
-    assert desk.now < brain.waits.lost <= desk.now + 10 * 10_000
+    assert runtime.now < brain.waits.lost <= runtime.now + 10 * 10_000
 
 
 @pytest.mark.parametrize("lost, samples", [(False, 1), (True, 0)])
 def test_a_time_out_is_a_sample_of_the_load_only_where_no_answers_are_lost(lost, samples):
     at = store()
-    brain, desk = scheduler([at])
-    node, sent = brain.nodes[at], task(desk)
+    brain, runtime = scheduler([at])
+    node, sent = brain.nodes[at], task(runtime)
     node.hold(brain.line_of(node, sent.volume), sent)
-    desk.now += 100
+    runtime.now += 100
     node.round()
-    brain.waits.lost = desk.now + lost
+    brain.waits.lost = runtime.now + lost
     node.learn(sent, outcome(OutcomeKind.TIMED_OUT, 5_000))
     assert len(node.lags) == samples
 
@@ -75,11 +75,11 @@
 def test_no_task_goes_again_beside_one_that_is_out_where_neither_cancels_nor_copies_are_allowed(copies, cancel, soon):
     """Guards against a second copy: what timed out is still out on its open connection."""
     at = store()
-    brain, desk = scheduler([at], allowed=Allowed(3, False, 0, copies, cancel, False))
+    brain, runtime = scheduler([at], allowed=Allowed(3, False, 0, copies, cancel, False))
     heard(brain.nodes[at], 100, 100, 100)
-    brain.waits.lost, sent = desk.now + 1, task(desk)
+    brain.waits.lost, sent = runtime.now + 1, task(runtime)
     sent.hand_offs = 1
-    assert (brain.time_out(sent, brain.nodes[at], desk.now + 2_500) > 0) is soon
+    assert (brain.time_out(sent, brain.nodes[at], runtime.now + 2_500) > 0) is soon
 
 
 @pytest.mark.parametrize(
@@ -95,12 +95,12 @@
     category, lost, hand_offs, soon
 ):
     at = store()
-    brain, desk = scheduler([at])
+    brain, runtime = scheduler([at])
     heard(brain.nodes[at], 100, 100, 100)
-    brain.waits.lost = desk.now + lost
-    sent = task(desk, category=category)
+    brain.waits.lost = runtime.now + lost
+    sent = task(runtime, category=category)
     sent.hand_offs = hand_offs
-    assert (0 < brain.time_out(sent, brain.nodes[at], desk.now + 2_500) < 2_000) is soon
+    assert (0 < brain.time_out(sent, brain.nodes[at], runtime.now + 2_500) < 2_000) is soon
 
 
 @pytest.mark.parametrize(
@@ -119,40 +119,40 @@
 
 
 def test_an_unheard_node_counts_as_the_middle_of_those_heard():
-    brain, desk = scheduler([store(shard) for shard in range(4)])
+    brain, runtime = scheduler([store(shard) for shard in range(4)])
     unheard = brain.by_shard[3]
     for shard, wait in enumerate([0, 4_000, 90_000]):
-        brain.waits.put(brain.by_shard[shard].store, desk.now, wait)
+        brain.waits.put(brain.by_shard[shard].store, runtime.now, wait)
         assert unheard.queueing() == [0, 0, 4_000][shard]
 
 
 @pytest.mark.parametrize("used, rate", [(0.0, "floor"), (10.0, 1e-3 * 4 * 0.5), (1e6, 0.5)])
 def test_a_rate_falls_from_what_was_used(used, rate):
-    brain, desk = scheduler([store()])
+    brain, runtime = scheduler([store()])
     node = next(iter(brain.nodes.values()))
     node.rate = 1.0
-    node.grants.append((desk.now, used))
+    node.grants.append((runtime.now, used))
     node.fall(0.5, 100)
     assert node.rate == (node.floor if rate == "floor" else rate)
 
 
 def test_a_node_out_of_date_is_judged_well_again():
     at = store()
-    brain, desk = scheduler([at])
+    brain, runtime = scheduler([at])
     node = brain.nodes[at]
     heard(node, *[100] * 8, *[9_000] * 8)
     assert node.gap() < 0
-    desk.now += 20_001
+    runtime.now += 20_001
     assert node.gap() > 0
 
 
 def test_silence_while_work_is_out_counts_as_lag():
     at = store()
-    brain, desk = scheduler([at])
+    brain, runtime = scheduler([at])
     node = brain.nodes[at]
-    sent = task(desk)
-    node.sent[sent] = desk.now
-    desk.now += 5_000
+    sent = task(runtime)
+    node.sent[sent] = runtime.now
+    runtime.now += 5_000
     assert node.queueing() == 5_000 and node.gap() < 0
     node.learn(sent, outcome(OutcomeKind.ERROR))
     assert node.queueing() == 0
@@ -170,29 +170,29 @@
     ],
 )
 def test_an_idle_node_lends_and_to_a_line_in_debt_only_on_a_fresh_sample(out, debt, lag, turns):
-    brain, desk = scheduler([store()])
-    node, asking = next(iter(brain.nodes.values())), task(desk)
+    brain, runtime = scheduler([store()])
+    node, asking = next(iter(brain.nodes.values())), task(runtime)
     node.out, node.rate = out, node.floor
     brain.line_of(node, asking.volume).tokens = debt
     if lag is not None:
         heard(node, *[100] * 8, *[100 + lag] * 4)
-        brain.waits.put(node.store, desk.now, node.queueing())
+        brain.waits.put(node.store, runtime.now, node.queueing())
     node.hold(node.lines[asking.volume], asking)
-    assert len(desk.woken) == turns
+    assert len(runtime.woken) == turns
 
 
 @pytest.mark.parametrize("starved", [True, False])
 def test_the_rate_rises_by_time_only_while_it_holds_tasks_back_and_not_without_end(starved):
     at = store()
-    brain, desk = scheduler([at])
+    brain, runtime = scheduler([at])
     node = brain.nodes[at]
     node.rate = node.usual / node.tightest
     node.starved, before = starved, node.rate
-    desk.now += 100
+    runtime.now += 100
     node.accrue()
     assert (node.rate > before) is starved
     for _ in range(200):
-        node.starved, desk.now = True, desk.now + 100
+        node.starved, runtime.now = True, runtime.now + 100
         node.accrue()
     assert node.rate * node.tightest < 32 * node.usual * 10
 
@@ -200,32 +200,32 @@
 def test_reserved_volumes_leave_first_and_stop_at_their_deficit():
     reserved = replace(PLAN, reserve=100.0)
     at = store()
-    brain, desk = scheduler([at])
+    brain, runtime = scheduler([at])
     node = brain.nodes[at]
-    node.resting = desk.now + 10
+    node.resting = runtime.now + 10
     plain = Volume("p", PLAN, 1.0)
     rich = Volume("r", reserved, 1.0)
-    tasks = [task(desk, volume=plain, units=1.0) for _ in range(2)]
-    tasks += [task(desk, volume=rich, units=1.0) for _ in range(2)]
+    tasks = [task(runtime, volume=plain, units=1.0) for _ in range(2)]
+    tasks += [task(runtime, volume=rich, units=1.0) for _ in range(2)]
     runs = [brain.serve(each) for each in tasks]
     assert all(isinstance(next(run), Wait) for run in runs)
     node.bucket = 0.0
-    desk.now += 10
+    runtime.now += 10
     node.rate, node.least, node.out = 1e-9, 100.0, 1
     node.lines[rich].balance, node.lines[rich].earns = -0.5, 1e-4
     node.round()
-    assert [woken for woken, _ in desk.woken] == [tasks[2]]
+    assert [woken for woken, _ in runtime.woken] == [tasks[2]]
 
 
 def test_a_store_far_quicker_than_the_target_is_not_held_to_the_targets_rate():
     """At a tenth of the target's lag the hand-offs that may be out make ten times the rate."""
     at = store()
-    brain, desk = scheduler([at])
+    brain, runtime = scheduler([at])
     node = brain.nodes[at]
     quick = int(brain.tightest * 0.3 / 10)
     heard(node, *[quick] * 24)
     for _ in range(2_000):
-        desk.now += 100
+        runtime.now += 100
         heard(node, quick)
         node.starved = True
         node.accrue()
@@ -260,47 +260,47 @@
 @given(st.lists(st.tuples(st.integers(0, 4), st.integers(1, 4_000), st.floats(0, 30)), min_size=1, max_size=40))
 def test_what_idle_lines_have_and_owe_is_what_walking_them_would_give(steps):
     """Guards the working out of idle lines at need: debts, balances under their full one, who counts as active."""
-    brain, desk = scheduler([store()])
+    brain, runtime = scheduler([store()])
     node = next(iter(brain.nodes.values()))
     volumes = [Volume(f"v{n}", replace(PLAN, reserve=5.0 * n), 1.0) for n in range(5)]
     lines = [brain.line_of(node, volume) for volume in volumes]
     node.rate, node.resting = 0.01, 1 << 60  # nothing is granted by itself
     walked = Walked(0.01, [line.earns for line in lines])
     for which, span, cost in steps:
-        desk.now += span
+        runtime.now += span
         node.accrue()
-        walked.step(desk.now, span)
-        held, line = task(desk, volume=volumes[which]), lines[which]
+        walked.step(runtime.now, span)
+        held, line = task(runtime, volume=volumes[which]), lines[which]
         node.hold(line, held)
         walked.holds.add(which)
         assert line.tokens == pytest.approx(walked.tokens[which], abs=1e-6)
         if line.earns and walked.balance[which] < 299 * line.earns:
             assert line.balance == pytest.approx(walked.balance[which], abs=1e-6)
-        desk.now += span
+        runtime.now += span
         node.accrue()
-        walked.step(desk.now, span)
+        walked.step(runtime.now, span)
         line.tokens -= cost
         line.balance = walked.balance[which] = min(line.balance, walked.balance[which]) - cost
         walked.tokens[which] -= cost
         node.drop(line, held)
         walked.holds.discard(which)
         walked.tokens[which] = min(walked.tokens[which], 0.0)
-        walked.late[which] = desk.now
+        walked.late[which] = runtime.now
         assert node.earn == pytest.approx(sum(walked.earns))
 
 
 def test_volumes_long_gone_are_let_go_and_come_back_as_new():
-    brain, desk = scheduler([store()])
+    brain, runtime = scheduler([store()])
     node = next(iter(brain.nodes.values()))
     gone, here = Volume("gone", replace(PLAN, reserve=2.0), 1.0), Volume("here", replace(PLAN, reserve=2.0), 1.0)
     line = brain.line_of(node, gone)
     assert node.earn == line.earns > 0
     for _ in range(8):
-        desk.now += 1_000_000
-        held = task(desk, volume=here)
+        runtime.now += 1_000_000
+        held = task(runtime, volume=here)
         node.hold(brain.line_of(node, here), held)
         node.drop(brain.line_of(node, here), held)
-        desk.now += 10_000
+        runtime.now += 10_000
         node.accrue()
     assert list(node.lines) == [here] and node.earn == pytest.approx(line.earns)
     line.earn(1.0)  # a volume's old line is still told of: it counts no more
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -24,9 +24,9 @@
 
 def test_an_idle_node_takes_a_task_and_delivery_ends_it():
     at = store()
-    brain, desk = scheduler([at])
-    run = brain.serve(task(desk))
-    want = turn(run, desk, brain)
+    brain, runtime = scheduler([at])
+    run = brain.serve(task(runtime))
+    want = turn(run, runtime, brain)
     assert isinstance(want, HandOff) and want.store is at
     with pytest.raises(StopIteration):
         run.send(outcome(OutcomeKind.DELIVERED))
@@ -47,9 +47,9 @@
     ],
 )
 def test_after_an_outcome_only_what_is_legal_follows(how, kind, category):
-    brain, desk = scheduler([store()])
-    run = brain.serve(task(desk, category=category))
-    turn(run, desk, brain)
+    brain, runtime = scheduler([store()])
+    run = brain.serve(task(runtime, category=category))
+    turn(run, runtime, brain)
     assert isinstance(run.send(outcome(how)), kind)
 
 
@@ -66,10 +66,10 @@
 )
 def test_a_stamped_task_that_may_have_run_stays_in_its_group_and_window(scope, other, later, legal):
     first = store()
-    brain, desk = scheduler([first])
-    repeat = task(desk, category=replace(DEDUPLICATED, scope=scope))
-    repeat.may_have_run.append((first, desk.now))
-    desk.now += later
+    brain, runtime = scheduler([first])
+    repeat = task(runtime, category=replace(DEDUPLICATED, scope=scope))
+    repeat.may_have_run.append((first, runtime.now))
+    runtime.now += later
     assert brain.in_group(repeat, store(**other)) is legal
 
 
@@ -84,34 +84,34 @@
     ],
 )
 def test_a_nack_is_given_only_where_its_promise_holds(category, ran, answer):
-    brain, desk = scheduler([store()])
-    given_up = task(desk, category=category)
+    brain, runtime = scheduler([store()])
+    given_up = task(runtime, category=category)
     if ran:
-        given_up.may_have_run.append((store(), desk.now))
+        given_up.may_have_run.append((store(), runtime.now))
     assert isinstance(brain.final(given_up), answer)
 
 
 @pytest.mark.parametrize("state", [StoreState.DRAINING, StoreState.GONE])
 def test_nothing_goes_to_a_node_that_leaves(state):
     at = store()
-    brain, desk = scheduler([at])
+    brain, runtime = scheduler([at])
     node = brain.nodes[at]
     node.rate = 0.0
-    node.sent[task(desk)] = desk.now
+    node.sent[task(runtime)] = runtime.now
     node.out, node.tokens_out = 1, 100.0
-    held = task(desk)
+    held = task(runtime)
     run = brain.serve(held)
     assert isinstance(next(run), Wait)
     at.state = state
     brain.list_changed([at], confirmed=True)
-    assert desk.woken == [(held, WakeReason.RECHECK)]
+    assert runtime.woken == [(held, WakeReason.RECHECK)]
     assert isinstance(run.send(WakeReason.RECHECK), Nack)
 
 
 @pytest.mark.parametrize("stores, shard", [([], 0), ([], None), ([store(shard=3)], 0)])
 def test_a_task_that_no_node_can_serve_is_answered_at_once(stores, shard):
-    brain, desk = scheduler(stores)
-    assert isinstance(next(brain.serve(task(desk, shard=shard))), Nack)
+    brain, runtime = scheduler(stores)
+    assert isinstance(next(brain.serve(task(runtime, shard=shard))), Nack)
 
 
 @pytest.mark.parametrize(
@@ -126,23 +126,23 @@
     ],
 )
 def test_a_hand_off_is_legal_only_within_tries_budget_and_time(sent, extras, later, legal):
-    brain, desk = scheduler([store()], budget=BudgetRule(span=50_000, free=1.0, share=0.0))
-    desk.now += 60_000
-    again = task(desk)
+    brain, runtime = scheduler([store()], budget=BudgetRule(span=50_000, free=1.0, share=0.0))
+    runtime.now += 60_000
+    again = task(runtime)
     again.hand_offs = sent
-    brain.extras.extras.extend([desk.now] * extras)
-    desk.now += later
+    brain.extras.extras.extend([runtime.now] * extras)
+    runtime.now += later
     assert brain.may_hand_off(again) is legal
 
 
 def test_what_is_no_longer_legal_at_the_turn_is_taken_back():
-    brain, desk = scheduler([store()], budget=BudgetRule(span=50_000, free=1.0, share=0.0))
-    desk.now += 60_000
-    run, node = brain.serve(task(desk)), next(iter(brain.nodes.values()))
-    turn(run, desk, brain)
+    brain, runtime = scheduler([store()], budget=BudgetRule(span=50_000, free=1.0, share=0.0))
+    runtime.now += 60_000
+    run, node = brain.serve(task(runtime)), next(iter(brain.nodes.values()))
+    turn(run, runtime, brain)
     assert isinstance(run.send(outcome(OutcomeKind.ERROR)), Wait)
-    brain.extras.extras.append(desk.now)
-    desk.now += 200
+    brain.extras.extras.append(runtime.now)
+    runtime.now += 200
     node.round()
     assert isinstance(run.send(WakeReason.GRANTED), Nack)
     assert (node.out, node.tokens_out, node.sent) == (0, 0.0, {})
@@ -150,39 +150,39 @@
 
 def test_tasks_on_one_key_go_one_at_a_time_and_the_key_rests():
     ordered = replace(IDEMPOTENT, ordered=True)
-    brain, desk = scheduler([store()], key_rest=700)
-    desk.now += 700
-    first, second = task(desk, category=ordered, key=9), task(desk, category=ordered, key=9)
+    brain, runtime = scheduler([store()], key_rest=700)
+    runtime.now += 700
+    first, second = task(runtime, category=ordered, key=9), task(runtime, category=ordered, key=9)
     run, other = brain.serve(first), brain.serve(second)
-    turn(run, desk, brain)
+    turn(run, runtime, brain)
     assert isinstance(next(other), Wait)
-    desk.woken.clear()
+    runtime.woken.clear()
     with pytest.raises(StopIteration):
         run.send(outcome(OutcomeKind.TIMED_OUT, over=True))
-    assert desk.woken == [(second, WakeReason.RECHECK)]
-    assert other.send(WakeReason.RECHECK) == Wait(desk.now + 700)
+    assert runtime.woken == [(second, WakeReason.RECHECK)]
+    assert other.send(WakeReason.RECHECK) == Wait(runtime.now + 700)
 
 
 def test_failed_calls_for_the_list_are_spaced_out_within_what_counts_as_told():
     """The list counts as told 6 s after it could be reached: half of it is left for a call that hangs and the next."""
-    brain, desk = scheduler([], listing=Listing(True, 100_000, 10_000))
-    assert desk.watches == 1
+    brain, runtime = scheduler([], listing=Listing(True, 100_000, 10_000))
+    assert runtime.watches == 1
     for _ in range(40):
         brain.list_failed()
-    times = [at - desk.now for at, call in desk.alarms if call == desk.request_store_list]
+    times = [at - runtime.now for at, call in runtime.alarms if call == runtime.request_store_list]
     assert len(times) == 40 and 5_000 <= times[0] <= 15_000
     assert min(times[1:]) >= 10_000 and 25_000 < max(times) <= 30_000
     brain.list_changed([], confirmed=True)
     brain.list_failed()
-    assert desk.alarms[-1][0] - desk.now <= 15_000
+    assert runtime.alarms[-1][0] - runtime.now <= 15_000
 
 
 def test_a_pushed_list_that_ended_is_tried_anew_before_a_drain_s_grace_is_over():
     """What whoever pushes holds meanwhile counts as told, and calls there cost nothing."""
-    brain, desk = scheduler([], listing=Listing(False, 0, 5_000))
+    brain, runtime = scheduler([], listing=Listing(False, 0, 5_000))
     for _ in range(8):
         brain.list_failed()
-    times = [at - desk.now for at, call in desk.alarms if call == desk.request_store_list]
+    times = [at - runtime.now for at, call in runtime.alarms if call == runtime.request_store_list]
     assert len(times) == 8 and min(times) >= 250 and max(times) <= 750
 
 
@@ -198,59 +198,59 @@
     ],
 )
 def test_the_soft_limit_runs_from_the_first_try_unless_patience_is_short(remaining, aim):
-    brain, desk = scheduler([store()])
-    usual, further = task(desk), task(desk)
-    further.deadline = desk.now + remaining
-    assert brain.aim_of(usual) == desk.now + 2_500
-    assert brain.aim_of(further) == desk.now + aim
+    brain, runtime = scheduler([store()])
+    usual, further = task(runtime), task(runtime)
+    further.deadline = runtime.now + remaining
+    assert brain.aim_of(usual) == runtime.now + 2_500
+    assert brain.aim_of(further) == runtime.now + aim
 
 
 @pytest.mark.parametrize("wait, want", [(0, Wait), (5_000, Nack)])
 def test_a_task_late_already_goes_only_where_nothing_waits(wait, want):
-    brain, desk = scheduler([store()])
-    next(brain.serve(task(desk)))
-    brain.waits.put(next(iter(brain.nodes)), desk.now, wait)
-    late, node = task(desk), next(iter(brain.nodes.values()))
-    late.deadline = desk.now + 5_000
+    brain, runtime = scheduler([store()])
+    next(brain.serve(task(runtime)))
+    brain.waits.put(next(iter(brain.nodes)), runtime.now, wait)
+    late, node = task(runtime), next(iter(brain.nodes.values()))
+    late.deadline = runtime.now + 5_000
     heard(node, *[100] * 8, *[100 + wait] * 4)
     assert isinstance(next(brain.serve(late)), want)
 
 
 def test_a_replacement_under_a_new_id_takes_the_shard_over():
     at, new = store(), store()
-    brain, desk = scheduler([at])
+    brain, runtime = scheduler([at])
     at.state = StoreState.GONE
     brain.list_changed([at], confirmed=True)
-    assert isinstance(next(brain.serve(task(desk))), Nack)
+    assert isinstance(next(brain.serve(task(runtime))), Nack)
     brain.list_changed([at, new], confirmed=True)
-    assert brain.node_for(task(desk)) is brain.nodes[new]
+    assert brain.node_for(task(runtime)) is brain.nodes[new]
 
 
 @pytest.mark.parametrize("signal", [WakeReason.TIMER, WakeReason.GRANTED])
 def test_a_wake_up_far_past_its_time_sends_nothing(signal):
-    brain, desk = scheduler([store()])
+    brain, runtime = scheduler([store()])
     next(iter(brain.nodes.values())).out = 1
-    run = brain.serve(task(desk))
+    run = brain.serve(task(runtime))
     assert isinstance(next(run), Wait)
-    desk.now += 50_000
+    runtime.now += 50_000
     if signal is WakeReason.GRANTED:
         next(iter(brain.nodes.values())).release(0.0)
     assert isinstance(run.send(signal), Nack)
 
 
 def test_two_instances_with_one_seed_act_alike():
-    brain, desk = scheduler([store(shard) for shard in range(5)])
-    other = Scheduler(facts(), 1, desk)
+    brain, runtime = scheduler([store(shard) for shard in range(5)])
+    other = Scheduler(facts(), 1, runtime)
     other.list_changed([store(shard) for shard in range(5)], confirmed=True)
     assert [n.store.shard for n in brain.ranked] == [n.store.shard for n in other.ranked]
 
 
 def test_no_key_is_used_until_those_of_an_earlier_life_have_rested():
     ordered = replace(IDEMPOTENT, ordered=True)
-    brain, desk = scheduler([store()], key_rest=700)
-    run = brain.serve(task(desk, category=ordered, key=9))
-    assert next(run).until == desk.now + 700
-    desk.now += 700
+    brain, runtime = scheduler([store()], key_rest=700)
+    run = brain.serve(task(runtime, category=ordered, key=9))
+    assert next(run).until == runtime.now + 700
+    runtime.now += 700
     assert (
-        isinstance(run.send(WakeReason.TIMER), Wait) and desk.woken[-1][1] is WakeReason.GRANTED
+        isinstance(run.send(WakeReason.TIMER), Wait) and runtime.woken[-1][1] is WakeReason.GRANTED
     )  # it is its node's turn now
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -90,14 +90,14 @@
 
 
 def scheduler(stores: list[Store], **changes: Any) -> tuple[Scheduler, Runtime]:
-    desk = Runtime()
-    made = Scheduler(facts(**changes), 1, desk)
+    runtime = Runtime()
+    made = Scheduler(facts(**changes), 1, runtime)
     made.list_changed(stores, confirmed=True)
-    return made, desk
+    return made, runtime
 
 
 def task(
-    desk: Runtime,
+    runtime: Runtime,
     shard: int | None = 0,
     units: float = 2.0,
     category: Category = IDEMPOTENT,
@@ -105,7 +105,7 @@
     volume: Volume | None = None,
 ) -> Task:
     return Task(
-        "t", category, volume or Volume("v", PLAN, 1.0), units, shard, key, desk.now, desk.now + category.deadline
+        "t", category, volume or Volume("v", PLAN, 1.0), units, shard, key, runtime.now, runtime.now + category.deadline
     )
 
 
@@ -118,11 +118,11 @@
         node.sample(lag, 2.0)
 
 
-def turn(run, desk, brain):
+def turn(run, runtime, brain):
     """Start a task and give it its turn; returns what it then wants."""
     assert isinstance(next(run), Wait)
-    desk.now += 200
+    runtime.now += 200
     for node in brain.nodes.values():
         node.round()
-    assert desk.woken[-1][1] is WakeReason.GRANTED
+    assert runtime.woken[-1][1] is WakeReason.GRANTED
     return run.send(WakeReason.GRANTED)
