--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -24,12 +24,12 @@
     Allowed,
     Category,
     DeduplicationScope,
-    Facts,
     Listing,
     Outcome,
     OutcomeKind,
     Plan,
     RepeatSafety,
+    SchedulerConfig,
     Sizes,
     Store,
     StoreState,
@@ -50,7 +50,7 @@
             "read", 3_000, 20_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, DeduplicationScope.ALL, 0, False, False, 0.0
         )
         plan = Plan("p", 10.0, 2.0 if reserved else 0.0, 1.0, 1.0, 0.0, 0.0, 0.0)
-        facts = Facts(
+        facts = SchedulerConfig(
             2,
             0,
             0,
--- a/tansykeel/audit/rules.py
+++ b/tansykeel/audit/rules.py
@@ -12,7 +12,7 @@
 
 from tansykeel.audit.join import READY, HandOff, Passed, TaskSeen
 from tansykeel.audit.records import Up
-from tansykeel.interface import Category, DeduplicationScope, Facts, Plan, RepeatSafety
+from tansykeel.interface import Category, DeduplicationScope, Plan, RepeatSafety, SchedulerConfig
 from tansykeel.settings.shape import Shape, borne
 
 SLACK = 250_000  # microseconds
@@ -30,7 +30,7 @@
 class Law(NamedTuple):
     """What the rules' figures are on this day."""
 
-    facts: Facts
+    facts: SchedulerConfig
     shape: Shape
     plan_of: dict[str, Plan]  # by volume
 
--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -8,7 +8,6 @@
 from tansykeel.interface import (
     BreakOff,
     DeduplicationScope,
-    Facts,
     HandOff,
     Nack,
     Outcome,
@@ -16,6 +15,7 @@
     PeerMessage,
     RepeatSafety,
     Runtime,
+    SchedulerConfig,
     Store,
     StoreState,
     Task,
@@ -31,7 +31,7 @@
     """Every task goes out when it comes, to the store that holds its data (a new object to each store in turn),
     and once more after a quick failure where that does no harm. Nothing is held, nothing refused but for a drain."""
 
-    def __init__(self, facts: Facts, seed: int, runtime: Runtime) -> None:
+    def __init__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         self.facts, self.runtime = facts, runtime
         self.by_shard: dict[int, Store] = {}
         self.next_new = seed
@@ -83,7 +83,7 @@
 
     WINDOW = 8
 
-    def __init__(self, facts: Facts, seed: int, runtime: Runtime) -> None:
+    def __init__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         super().__init__(facts, seed, runtime)
         self.out: dict[Store, int] = {}
         self.lines: dict[Store, deque[Task]] = {}
@@ -132,7 +132,7 @@
 
     SECOND = 10_000
 
-    def __init__(self, facts: Facts, seed: int, runtime: Runtime) -> None:
+    def __init__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         super().__init__(facts, seed, runtime)
         self.level: dict[Volume, tuple[float, int]] = {}
 
@@ -157,7 +157,7 @@
 
     QUANTUM = 4.0  # units that a volume gains in a round
 
-    def __init__(self, facts: Facts, seed: int, runtime: Runtime) -> None:
+    def __init__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         super().__init__(facts, seed, runtime)
         self.rings: dict[Store, dict[Volume, deque[Task]]] = {}
         self.deficits: dict[tuple[Store, Volume], float] = {}
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -10,10 +10,10 @@
 from tansykeel.benchlink import wire, words
 from tansykeel.brain import Scheduler
 from tansykeel.interface import (
-    Facts,
     Outcome,
     OutcomeKind,
     PeerMessage,
+    SchedulerConfig,
     Store,
     StoreState,
     Task,
@@ -44,7 +44,7 @@
     return table[value]
 
 
-def read_facts(text: bytes) -> Facts:
+def read_facts(text: bytes) -> SchedulerConfig:
     try:
         return given.facts_of(json.loads(text))
     except given.NotLegal as error:
@@ -56,7 +56,7 @@
 class Instance:
     """One gateway's decisions behind the wire: the runner's door and the owner of all its objects."""
 
-    def __init__(self, who: int, facts: Facts, seed: int, outbox: wire.Outbox, clock: int) -> None:
+    def __init__(self, who: int, facts: SchedulerConfig, seed: int, outbox: wire.Outbox, clock: int) -> None:
         self.who = who
         self.facts = facts
         self.outbox = outbox
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -9,7 +9,6 @@
     Category,
     DeduplicationScope,
     EvenShares,
-    Facts,
     HandOff,
     Nack,
     Outcome,
@@ -17,6 +16,7 @@
     PeerMessage,
     RepeatSafety,
     Runtime,
+    SchedulerConfig,
     Store,
     StoreState,
     Task,
@@ -39,7 +39,7 @@
 
 
 class Scheduler:
-    def __init__(self, facts: Facts, seed: int, runtime: Runtime) -> None:
+    def __init__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         self.facts, self.runtime, self.chance, self.born = facts, runtime, random.Random(seed), runtime.now
         self.new: bool | None = None  # whether all gateways are, where another has said so
         if facts.allowed.peers:
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -34,11 +34,11 @@
 )
 from tansykeel.interface import (
     BreakOff,
-    Facts,
     Nack,
     Outcome,
     OutcomeKind,
     PeerMessage,
+    SchedulerConfig,
     ShareProvider,
     Store,
     StoreState,
@@ -56,14 +56,14 @@
 
     def __init__(
         self,
-        facts: Facts,
+        facts: SchedulerConfig,
         seed: int,
         wire: Wire,
         now: int,
         bounds: Bounds,
         intake: Intake,
         known: Iterable[RowOf] = (),
-        decide: Callable[[Facts, int, Runner], Decisions] = Scheduler,
+        decide: Callable[[SchedulerConfig, int, Runner], Decisions] = Scheduler,
         parts: ShareProvider | None = None,
     ) -> None:
         self.facts, self.wire, self.bounds, self.intake = facts, wire, bounds, intake
--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from tansykeel.edge.tasks import MICROS, MS, Asked, Attempt, Bounds, Final
-from tansykeel.interface import Facts, PeerMessage, Plan, Task, Volume
+from tansykeel.interface import PeerMessage, Plan, SchedulerConfig, Task, Volume
 from tansykeel.protocol.frames import Answer, HandOffOf, Row, Share, TaskOf
 from tansykeel.settings.records import Gateway, Settings
 
@@ -14,7 +14,7 @@
 class Native:
     """The core's intake: volumes known from the settings, sizes counted from bytes."""
 
-    def __init__(self, settings: Settings, facts: Facts) -> None:
+    def __init__(self, settings: Settings, facts: SchedulerConfig) -> None:
         self.gateway, self.facts = settings.gateway, facts
         self.categories = {category.name: category for category in facts.categories}
         plans: dict[str, Plan] = {plan.name: plan for plan in facts.plans}
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -25,7 +25,7 @@
 from tansykeel.edge.stores import Stores
 from tansykeel.edge.tasks import DELIVERED, Attempt, Decisions, Final, Held, StillHeld
 from tansykeel.edge.trace import Trace
-from tansykeel.interface import Facts, PeerMessage, ShareProvider
+from tansykeel.interface import PeerMessage, SchedulerConfig, ShareProvider
 from tansykeel.maintenance.messages import CODEC, Figures, MaintenanceMessage, MessageError
 from tansykeel.maintenance.state import State
 from tansykeel.protocol.codec import Codec, Event, Piece
@@ -59,7 +59,7 @@
     def __init__(
         self,
         settings: Settings,
-        facts: Facts,
+        facts: SchedulerConfig,
         seed: int,
         trace: Trace | None = None,
         sample: int = 100,
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -16,12 +16,12 @@
 from tansykeel.emulator.gateway import Gateway
 from tansykeel.emulator.stores import SimStore
 from tansykeel.interface import (
-    Facts,
     HandOff,
     Outcome,
     OutcomeKind,
     RepeatSafety,
     Runtime,
+    SchedulerConfig,
     Store,
     StoreState,
     Task,
@@ -56,7 +56,7 @@
         self.used: dict[object, tuple[int, float]] = {}  # by volume's name: its second, units sent in it
         self.allowed: dict[object, tuple[float, int]] = {}  # by volume's name: what its limit has left, when
 
-    def __call__(self, facts: Facts, seed: int, runtime: Runtime) -> TrueView:
+    def __call__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> TrueView:
         return TrueView(self, facts, seed, runtime)
 
     def power(self, store: SimStore) -> float:
@@ -135,7 +135,7 @@
 
 
 class TrueView(SendAtOnce):
-    def __init__(self, eye: Eye, facts: Facts, seed: int, runtime: Runtime) -> None:
+    def __init__(self, eye: Eye, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         super().__init__(facts, seed, runtime)
         self.eye = eye
         self.extras = Extras(facts.budget, runtime.now) if facts.budget else None
--- a/tansykeel/emulator/scene.py
+++ b/tansykeel/emulator/scene.py
@@ -13,7 +13,7 @@
 from tansykeel.edge.tasks import Decisions
 from tansykeel.emulator.engine import Engine
 from tansykeel.emulator.ways import GatewayEnd, StoreEnd, Ways
-from tansykeel.interface import Facts
+from tansykeel.interface import SchedulerConfig
 from tansykeel.protocol.frames import Answer
 from tansykeel.rehearse.faults import Faults
 from tansykeel.rehearse.load import stream
@@ -52,7 +52,9 @@
         self.records: list[AnyRecord] = []
         self.notes: list[str] = []
         self.settings = settings_of(day, "list:1", "edge:1")
-        self.facts: list[Facts] = [facts_of(self.settings, n, day.fleet.edges) for n in range(day.fleet.edges)]
+        self.facts: list[SchedulerConfig] = [
+            facts_of(self.settings, n, day.fleet.edges) for n in range(day.fleet.edges)
+        ]
         self.marks = KeptMarks()
         self.boots = 0
         self._blank: dict[int, bytes] = {}
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -105,7 +105,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class SchedulerConfig:
     """What an instance is told at its start; each part of the module is handed only what it needs of it."""
 
     gateways: int
--- a/tansykeel/platform/config.py
+++ b/tansykeel/platform/config.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct
 
 from tansykeel.errors import Problem
-from tansykeel.interface import Facts
+from tansykeel.interface import SchedulerConfig
 from tansykeel.settings.facts import TENTH
 from tansykeel.settings.given import NotLegal, facts_of
 from tansykeel.transport.sockets import address_of
@@ -76,7 +76,7 @@
 @dataclass(frozen=True, slots=True)
 class Config:
     file: File
-    facts: Facts
+    facts: SchedulerConfig
     zones: dict[str, int]  # by the name that discovery gives
     connect_within: float  # seconds
     idle_close: float  # seconds after which stores close a connection that idles
--- a/tansykeel/platform/intake.py
+++ b/tansykeel/platform/intake.py
@@ -9,7 +9,7 @@
 
 from tansykeel.edge.tasks import Asked
 from tansykeel.http1.codec import Malformed, Request
-from tansykeel.interface import Category, Facts, Plan, Task, Volume
+from tansykeel.interface import Category, Plan, SchedulerConfig, Task, Volume
 from tansykeel.settings.facts import TENTH
 
 MOST_VOLUMES = 4_096  # volumes known at once; the one not asked for longest is let go
@@ -42,7 +42,7 @@
 class Reader:
     """The core's intake. Volumes are met as they come; one that names another plan is another volume."""
 
-    def __init__(self, facts: Facts) -> None:
+    def __init__(self, facts: SchedulerConfig) -> None:
         self.largest = facts.sizes.largest
         self.categories = {category.name.encode(): category for category in facts.categories}
         self.plans = {plan.name.encode(): plan for plan in facts.plans}
--- a/tansykeel/settings/build.py
+++ b/tansykeel/settings/build.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tansykeel.interface import DeduplicationScope, Facts, Plan, RepeatSafety, Sizes
+from tansykeel.interface import DeduplicationScope, Plan, RepeatSafety, SchedulerConfig, Sizes
 from tansykeel.settings import facts as make
 from tansykeel.settings import script
 from tansykeel.settings.records import (
@@ -234,7 +234,7 @@
     return collected.settings(path.name)
 
 
-def facts_of(made: Settings, number: int, count: int) -> Facts:
+def facts_of(made: Settings, number: int, count: int) -> SchedulerConfig:
     """What the module of gateway `number` of `count` is started with (source: DESIGN, BRIEF's rules).
 
     Raises ScriptError where the number does not fit the count.
@@ -247,7 +247,7 @@
         named = sum(region.gateways for region in made.regions)
         raise ScriptError(f"regions: {named} gateways in all for {count}; legal: as many in the regions as there are")
     rules, cold, budget = made.rules, made.rules.cold, made.rules.budget
-    return Facts(
+    return SchedulerConfig(
         gateways=count,
         me=number,
         zone=made.gateway.zone,
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from tansykeel.errors import Problem
-from tansykeel.interface import DeduplicationScope, Facts, Plan, RepeatSafety, Sizes
+from tansykeel.interface import DeduplicationScope, Plan, RepeatSafety, SchedulerConfig, Sizes
 from tansykeel.settings import facts as make
 from tansykeel.settings.facts import ceil, floor
 
@@ -32,7 +32,7 @@
     return table[value]
 
 
-def facts_of(raw: Any) -> Facts:
+def facts_of(raw: Any) -> SchedulerConfig:
     """Turn the settings into our records; what may be absent is absent here too. Raises NotLegal."""
     if not isinstance(raw, dict):
         raise NotLegal("settings are not a JSON object")
@@ -46,7 +46,7 @@
         raise NotLegal(f"settings hold a value of the wrong kind: {error}") from error
 
 
-def _facts(raw: dict[str, Any]) -> Facts:
+def _facts(raw: dict[str, Any]) -> SchedulerConfig:
     rules, limits, specifics = raw["Rules"], raw["Limits"], raw.get("Specifics") or {}
     writes = specifics.get("ChangesData") or [False] * len(raw["Classes"])
     categories = tuple(
@@ -88,7 +88,7 @@
     budget = make.budget_rule(
         span=rules.get("BudgetSpan") or 0, free=rules.get("MinExtra") or 0.0, share=rules.get("ExtraRatio") or 0.0
     )
-    return Facts(
+    return SchedulerConfig(
         gateways=raw["Siblings"],
         me=raw["Me"],
         zone=raw["Zone"],
--- a/tests/audit/test_rules.py
+++ b/tests/audit/test_rules.py
@@ -33,10 +33,10 @@
     Category,
     ColdRule,
     DeduplicationScope,
-    Facts,
     Listing,
     Plan,
     RepeatSafety,
+    SchedulerConfig,
     Sizes,
 )
 from tansykeel.settings.shape import Shape
@@ -48,7 +48,7 @@
 PLAN = Plan("basic", 10.0, 2.0, 1.0, 1.0, 5.0, 20.0, 1.0)
 SHAPE = Shape(cores=1, unit_ms=10.0, cold_share=0.1, cold_s=10, fall_multiple=2.0, fall_s=1.0)
 LAW = Law(
-    Facts(
+    SchedulerConfig(
         2,
         0,
         0,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,13 +12,13 @@
     Category,
     DeduplicationScope,
     EvenShares,
-    Facts,
     Listing,
     Outcome,
     OutcomeKind,
     PeerMessage,
     Plan,
     RepeatSafety,
+    SchedulerConfig,
     Sizes,
     Store,
     StoreState,
@@ -63,7 +63,7 @@
         self.notes.append(text)
 
 
-def facts(**changes: Any) -> Facts:
+def facts(**changes: Any) -> SchedulerConfig:
     base: dict[str, Any] = dict(
         gateways=2,
         me=0,
@@ -79,7 +79,7 @@
         key_rest=0,
         report_fields=(),
     )
-    return Facts(**(base | changes))
+    return SchedulerConfig(**(base | changes))
 
 
 def store(shard: int = 0, **changes: Any) -> Store:
