--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -31,12 +31,12 @@
     """Every task goes out when it comes, to the store that holds its data (a new object to each store in turn),
     and once more after a quick failure where that does no harm. Nothing is held, nothing refused but for a drain."""
 
-    def __init__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
-        self.facts, self.runtime = facts, runtime
+    def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
+        self.config, self.runtime = config, runtime
         self.by_shard: dict[int, Store] = {}
         self.next_new = seed
         self.asks = 0
-        if facts.listing.must_ask:
+        if config.listing.must_ask:
             runtime.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
@@ -57,7 +57,7 @@
         return self.by_shard[shards[self.next_new % len(shards)]] if shards else None
 
     def serve(self, task: Task) -> TaskGenerator:
-        while task.hand_offs < self.facts.allowed.hand_offs and self.runtime.now < task.deadline:
+        while task.hand_offs < self.config.allowed.hand_offs and self.runtime.now < task.deadline:
             store = self.store_for(task)
             if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.IDEMPOTENT:
                 break
@@ -83,8 +83,8 @@
 
     WINDOW = 8
 
-    def __init__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
-        super().__init__(facts, seed, runtime)
+    def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
+        super().__init__(config, seed, runtime)
         self.out: dict[Store, int] = {}
         self.lines: dict[Store, deque[Task]] = {}
 
@@ -105,7 +105,7 @@
             self.runtime.wake(line.popleft(), WakeReason.GRANTED)
 
     def serve(self, task: Task) -> TaskGenerator:
-        while task.hand_offs < self.facts.allowed.hand_offs and self.runtime.now < task.deadline:
+        while task.hand_offs < self.config.allowed.hand_offs and self.runtime.now < task.deadline:
             store = self.store_for(task)
             if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.IDEMPOTENT:
                 break
@@ -132,13 +132,13 @@
 
     SECOND = 10_000
 
-    def __init__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
-        super().__init__(facts, seed, runtime)
+    def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
+        super().__init__(config, seed, runtime)
         self.level: dict[Volume, tuple[float, int]] = {}
 
     def serve(self, task: Task) -> TaskGenerator:
         rate = task.volume.plan.rate / self.SECOND / max(task.volume.gateways, 1)
-        depth = rate * self.SECOND + self.facts.sizes.largest
+        depth = rate * self.SECOND + self.config.sizes.largest
         level, at = self.level.get(task.volume, (depth, self.runtime.now))
         level = min(level + rate * (self.runtime.now - at), depth) - task.units
         self.level[task.volume] = level, self.runtime.now
@@ -157,8 +157,8 @@
 
     QUANTUM = 4.0  # units that a volume gains in a round
 
-    def __init__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
-        super().__init__(facts, seed, runtime)
+    def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
+        super().__init__(config, seed, runtime)
         self.rings: dict[Store, dict[Volume, deque[Task]]] = {}
         self.deficits: dict[tuple[Store, Volume], float] = {}
 
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -39,26 +39,26 @@
 
 
 class Scheduler:
-    def __init__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
-        self.facts, self.runtime, self.chance, self.born = facts, runtime, random.Random(seed), runtime.now
+    def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
+        self.config, self.runtime, self.chance, self.born = config, runtime, random.Random(seed), runtime.now
         self.new: bool | None = None  # whether all gateways are, where another has said so
-        if facts.allowed.peers:
+        if config.allowed.peers:
             runtime.call_at(runtime.now, lambda: runtime.send_to_peer(None, PeerMessage(None, 0.0, False)))
-        self.tightest = min(category.soft_limit for category in facts.categories)
-        self.least, self.usual = max(facts.sizes.largest, 1.0), max(facts.sizes.usual, 1.0)
+        self.tightest = min(category.soft_limit for category in config.categories)
+        self.least, self.usual = max(config.sizes.largest, 1.0), max(config.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
         self.waits, self.keys, self.asks, self.rank_due = Waits(), dict[int, KeyLine](), 0, 0
-        self.extras = Extras(facts.budget, runtime.now) if facts.budget else None
+        self.extras = Extras(config.budget, runtime.now) if config.budget else None
         self.patience: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
-        if facts.listing.must_ask:
+        if config.listing.must_ask:
             runtime.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
         self.asks = 0 if confirmed else self.asks
-        cold, gateways = self.facts.cold, self.facts.gateways
+        cold, gateways = self.config.cold, self.config.gateways
         for store in stores:
             if store not in self.nodes and store.state is not StoreState.GONE:
-                young = Young(cold, gateways, self.facts.me, self.least) if cold else None
+                young = Young(cold, gateways, self.config.me, self.least) if cold else None
                 self.nodes[store] = Node(
                     store,
                     self.runtime,
@@ -91,7 +91,7 @@
 
     def list_failed(self) -> None:
         # Guards against news that whoever pushes holds: it counts as told, and calls there cost nothing.
-        wait = min(SECOND * 2**self.asks, TOLD // 3) if self.facts.listing.must_ask else ANEW
+        wait = min(SECOND * 2**self.asks, TOLD // 3) if self.config.listing.must_ask else ANEW
         self.asks += 1
         self.runtime.call_at(
             self.runtime.now + int(self.chance.uniform(0.5, 1.5) * wait), self.runtime.request_store_list
@@ -180,7 +180,7 @@
                         outcome.kind in (OutcomeKind.TIMED_OUT, OutcomeKind.RESET, OutcomeKind.CANCELLED)
                         and task.key in self.keys
                     ):
-                        self.keys[task.key].rests_until = self.runtime.now + self.facts.key_rest
+                        self.keys[task.key].rests_until = self.runtime.now + self.config.key_rest
                 node.round()
                 if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                     return
@@ -193,7 +193,11 @@
 
     def time_out(self, task: Task, node: Node, aim: int) -> int:
         """After what time a harmless task goes again, if answers are lost and it can be in time, else 0."""
-        now, may, sure = self.runtime.now, self.facts.allowed, task.category.repeat is RepeatSafety.IDEMPOTENT
+        now, may, sure = (
+            self.runtime.now,
+            self.config.allowed,
+            task.category.repeat is RepeatSafety.IDEMPOTENT,
+        )
         if task.hand_offs != 1 or not (sure and (may.cancel or may.copies)) or now >= self.waits.lost:
             return 0
         patience = max(PATIENCE * (lag := int(node.lag(task.units))), self.tightest // 2)
@@ -215,9 +219,9 @@
 
     def state_of(self, volume: Volume) -> VolumeState:
         if volume.state is None:
-            plan, hosts = volume.plan, volume.gateways if volume.gateways >= 1 else self.facts.gateways
+            plan, hosts = volume.plan, volume.gateways if volume.gateways >= 1 else self.config.gateways
             shares = (
-                self.runtime.shares if hosts == self.facts.gateways else EvenShares()
+                self.runtime.shares if hosts == self.config.gateways else EvenShares()
             )  # views divide among all
             limit, depth = plan.limit / SECOND / hosts, plan.limit_depth / hosts
             volume.state = VolumeState(hosts, limit, depth, self.born, shares)
@@ -249,7 +253,7 @@
     def ask(self, volume: Volume, state: VolumeState) -> int:
         """Ask some gateways of the volume for units, all while some are unknown; how long that may take."""
         now = self.runtime.now
-        if not self.facts.allowed.peers or state.hosts <= 1:
+        if not self.config.allowed.peers or state.hosts <= 1:
             return 0
         if now >= state.ask_due:
             state.pause = ASK if 2 * state.got >= state.wish else min(2 * state.pause, SECOND)
@@ -284,7 +288,7 @@
 
     def may_hand_off(self, task: Task) -> bool:
         """Whether a (further) hand-off is legal now, wherever it goes."""
-        may = task.hand_offs < self.facts.allowed.hand_offs and self.runtime.now < task.deadline
+        may = task.hand_offs < self.config.allowed.hand_offs and self.runtime.now < task.deadline
         may = may and (not task.hand_offs or not self.extras or self.extras.room(self.runtime.now))
         return may and not (task.may_have_run and task.category.repeat is RepeatSafety.AT_MOST_ONCE)
 
@@ -298,7 +302,7 @@
 
     def final(self, task: Task) -> TaskAction:
         """The answer of a task given up on: a nack wherever its promise holds."""
-        allowed, of = self.facts.allowed, task.category
+        allowed, of = self.config.allowed, task.category
         sure = of.repeat is RepeatSafety.IDEMPOTENT or (
             of.repeat is RepeatSafety.DEDUPLICATED and of.scope is DeduplicationScope.ALL
         )
@@ -307,7 +311,7 @@
 
     def turn_on_key(self, task: Task, aim: int) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
         """Wait until the task is first on its key and the key has rested; False if that comes too late."""
-        line = self.keys.setdefault(task.key, KeyLine(self.born + self.facts.key_rest))  # of an earlier life
+        line = self.keys.setdefault(task.key, KeyLine(self.born + self.config.key_rest))  # of an earlier life
         line.tasks.append(task)
         while line.tasks[0] is not task or self.runtime.now < line.rests_until:
             if self.runtime.now >= aim:
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -56,8 +56,8 @@
         self.used: dict[object, tuple[int, float]] = {}  # by volume's name: its second, units sent in it
         self.allowed: dict[object, tuple[float, int]] = {}  # by volume's name: what its limit has left, when
 
-    def __call__(self, facts: SchedulerConfig, seed: int, runtime: Runtime) -> TrueView:
-        return TrueView(self, facts, seed, runtime)
+    def __call__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> TrueView:
+        return TrueView(self, config, seed, runtime)
 
     def power(self, store: SimStore) -> float:
         """Part of its full power that a store has now; none while it stands still."""
@@ -135,25 +135,25 @@
 
 
 class TrueView(SendAtOnce):
-    def __init__(self, eye: Eye, facts: SchedulerConfig, seed: int, runtime: Runtime) -> None:
-        super().__init__(facts, seed, runtime)
+    def __init__(self, eye: Eye, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
+        super().__init__(config, seed, runtime)
         self.eye = eye
-        self.extras = Extras(facts.budget, runtime.now) if facts.budget else None
+        self.extras = Extras(config.budget, runtime.now) if config.budget else None
 
     def turn(self, task: Task) -> None:
         """The gateway may be another than the one whose event led to this: it is told by an event of its own."""
-        gateway = self.eye.gateways[self.facts.me]
+        gateway = self.eye.gateways[self.config.me]
         self.runtime.wake(task, WakeReason.GRANTED)
         gateway.engine.after(0, gateway.tell, gateway.life, self.look)
 
     def look(self) -> None:
-        gateway = self.eye.gateways[self.facts.me]
+        gateway = self.eye.gateways[self.config.me]
         gateway.core.runner.advance_clock(gateway.clock())
         gateway.core.runner.run_pending()
 
     def true_store(self, task: Task) -> tuple[Store, SimStore] | None:
         """The store for a task, if the list tells of the one that is there; the emptiest for a new object."""
-        addresses = self.eye.gateways[self.facts.me].core.addresses
+        addresses = self.eye.gateways[self.config.me].core.addresses
         listed = [store for store in self.by_shard.values() if task.shard in (None, store.shard)]
         there = [(store, self.eye.stores[addresses[store]]) for store in listed]
         found = [(store, true) for store, true in there if store.state is StoreState.READY and true.listening]
@@ -164,7 +164,7 @@
         aim = min(now + task.category.soft_limit, task.deadline - 1)
         if self.extras is not None:
             self.extras.taken.append(now)
-        allowed = self.facts.allowed.hand_offs
+        allowed = self.config.allowed.hand_offs
         while self.runtime.now < aim and task.hand_offs < allowed:
             found = self.true_store(task)
             if found is None:
--- a/tests/broken_edge.py
+++ b/tests/broken_edge.py
@@ -31,7 +31,7 @@
 
 def sends_one_shots_again(facts):
     def again(self, task):
-        return task.hand_offs < self.facts.allowed.hand_offs and self.runtime.now < task.deadline
+        return task.hand_offs < self.config.allowed.hand_offs and self.runtime.now < task.deadline
 
     Scheduler.may_hand_off = again
     Scheduler.in_group = lambda self, task, store: True
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -138,8 +138,8 @@
 class Blind(Scheduler):
     """Knows nothing of cold stores: broken on purpose."""
 
-    def __init__(self, facts, seed, runtime):
-        super().__init__(replace(facts, cold=None), seed, runtime)
+    def __init__(self, config, seed, runtime):
+        super().__init__(replace(config, cold=None), seed, runtime)
 
 
 def test_a_broken_module_is_caught_here_too(world):
