--- a/tansykeel/brain/cold.py
+++ b/tansykeel/brain/cold.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from tansykeel.interface import ColdRule, Store
+from tansykeel.interface import SlowStartRule, Store
 
 SECOND, ROUND, LONG = 10_000, 100, 1_000  # a round every 10 ms (design), put off at cold nodes for so long
 EVEN, BY_ASKED, TOLD = 0.2, 0.8, 6 * SECOND  # parts dealt evenly, by what is asked; when a start is told by
@@ -65,7 +65,7 @@
 class Young:
     """Keeps what all send to a store that has just started within what it bears by its share of power."""
 
-    def __init__(self, rule: ColdRule, gateways: int, me: int, largest: float) -> None:
+    def __init__(self, rule: SlowStartRule, gateways: int, me: int, largest: float) -> None:
         self.rule, self.largest = rule, largest
         self.even, self.phase = EVEN * rule.always_safe / max(gateways, 1), (me + 0.5) / max(gateways, 1)
         self.due = self.suspected = 0  # when the last task will find room; when it may have started
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdRule:
+class SlowStartRule:
     """A store starts at `share` of its power, is warm after `warm_after`, falls at `multiple` over `span`."""
 
     share: float
@@ -117,7 +117,7 @@
     allowed: Allowed
     listing: Listing
     answer_grace: int
-    cold: ColdRule | None
+    cold: SlowStartRule | None
     budget: BudgetRule | None
     key_rest: int
     report_fields: tuple[str, ...]
--- a/tansykeel/settings/facts.py
+++ b/tansykeel/settings/facts.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from tansykeel.interface import Allowed, BudgetRule, Category, ColdRule, DeduplicationScope, Listing, RepeatSafety
+from tansykeel.interface import Allowed, BudgetRule, Category, DeduplicationScope, Listing, RepeatSafety, SlowStartRule
 
 TENTH = 100_000  # nanoseconds in a tenth of a millisecond
 
@@ -50,9 +50,11 @@
     )
 
 
-def cold_rule(*, share: float, warm_after: float, multiple: float, span: float, always_safe: float) -> ColdRule | None:
+def cold_rule(
+    *, share: float, warm_after: float, multiple: float, span: float, always_safe: float
+) -> SlowStartRule | None:
     """None where no span is given: such a deployment has no rule on cold stores."""
-    return ColdRule(share, ceil(warm_after), multiple, ceil(span), always_safe) if span else None
+    return SlowStartRule(share, ceil(warm_after), multiple, ceil(span), always_safe) if span else None
 
 
 def budget_rule(*, span: float, free: float, share: float) -> BudgetRule | None:
--- a/tests/audit/test_rules.py
+++ b/tests/audit/test_rules.py
@@ -31,13 +31,13 @@
     Allowed,
     BudgetRule,
     Category,
-    ColdRule,
     DeduplicationScope,
     Listing,
     Plan,
     RepeatSafety,
     SchedulerConfig,
     Sizes,
+    SlowStartRule,
 )
 from tansykeel.settings.shape import Shape
 
@@ -58,7 +58,7 @@
         Allowed(3, True, 0, False, True, False),
         Listing(False, 0, 5_000),
         500,
-        ColdRule(0.1, 100_000, 2.0, 10_000, 20.0),
+        SlowStartRule(0.1, 100_000, 2.0, 10_000, 20.0),
         BudgetRule(10_000, 1, 0.1),
         2_000,
         (),
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -12,12 +12,12 @@
 
 from tansykeel.brain.cold import BY_ASKED, Young
 from tansykeel.interface import (
-    ColdRule,
     OutcomeKind,
+    SlowStartRule,
     Volume,
 )
 
-COLD = ColdRule(share=0.2, warm_after=180_000, multiple=2.5, span=10_000, always_safe=20.0)
+COLD = SlowStartRule(share=0.2, warm_after=180_000, multiple=2.5, span=10_000, always_safe=20.0)
 
 
 def sent_in_a_span(every, at, start, units):
@@ -135,7 +135,7 @@
 def test_no_round_before_a_task_could_find_room_at_a_cold_node():
     """Guards against a round each 10 ms, for every gateway and node, that can send nothing."""
     at = store(started=999_000)
-    brain, runtime = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], cold=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
     node.young.room(at, runtime.now, 2.0, 0)
     node.young.credit = 2.0 * node.young.phase - 0.03
@@ -153,7 +153,7 @@
 def test_credit_from_before_a_store_was_found_out_of_reach_is_gone():
     """Guards against all gateways spending at once what they saved while it was away."""
     at = store(started=500_000)
-    brain, runtime = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], cold=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     runtime.now = 505_000
     node = brain.nodes[at]
     node.young.room(at, runtime.now, 8.0, 0)
@@ -175,7 +175,7 @@
 )
 def test_only_a_store_that_stays_out_of_reach_counts_as_just_started(hows, room):
     at = store()
-    brain, runtime = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], cold=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
     for how in hows:
         sent = task(runtime)
@@ -189,7 +189,7 @@
 def test_a_suspicion_ends_with_an_answer_as_quick_as_before(times, warm):
     """Guards against a cut zone that is throttled as cold for seconds after it healed."""
     at = store()
-    brain, runtime = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], cold=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
     heard(node, 100, 100, 100)
     for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
@@ -206,7 +206,7 @@
 def test_a_store_that_answers_and_of_which_no_start_was_told_had_not_started():
     """Guards against a cut link that leaves a warm store with what a cold one gets, for all the time of warming."""
     at = store()
-    brain, runtime = scheduler([at], cold=ColdRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], cold=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node, failed = brain.nodes[at], runtime.now
     for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
         sent = task(runtime)
@@ -228,7 +228,7 @@
 def test_what_a_fleet_without_memory_sends_stays_within_what_is_chance(gateways, load, warm_n):
     """Guards against a store pushed over by the sum of all: calls of mean work in any window of the span, with tasks
     that come by chance to gateways that know nothing of each other, a quarter of them with half of all tasks."""
-    rule = ColdRule(share=0.16, warm_after=100_000, multiple=2.0, span=10_000, always_safe=warm_n)
+    rule = SlowStartRule(share=0.16, warm_after=100_000, multiple=2.0, span=10_000, always_safe=warm_n)
     rate, chance = load * warm_n / (rule.multiple * rule.share * rule.span), random.Random(7)
     worst = -9.0
     for _ in range(12):
--- a/tests/brain/test_cold_fleet.py
+++ b/tests/brain/test_cold_fleet.py
@@ -19,13 +19,13 @@
 import pytest
 from helpers import PLAN, scheduler, store
 
-from tansykeel.interface import ColdRule, Volume
+from tansykeel.interface import SlowStartRule, Volume
 
 SECOND = 10_000  # in the scheduler's unit of time
 ROUND = 100
 UNITS = 2.0  # of a request of mean work
 START = 1_000_000
-RULE = ColdRule(share=0.2, warm_after=28 * SECOND, multiple=2.5, span=3 * SECOND, always_safe=0.0)
+RULE = SlowStartRule(share=0.2, warm_after=28 * SECOND, multiple=2.5, span=3 * SECOND, always_safe=0.0)
 PLANS_PART = 0.8  # of a store's capacity, for which the volumes' plans are sized
 ASKED_PART = 0.6  # of a store's capacity, which is asked for at an even load
 KEPT_FOR = SECOND // 2  # for which a request is held until it is given up
