--- a/tansykeel/brain/volumes.py
+++ b/tansykeel/brain/volumes.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from tansykeel.interface import BudgetRule, Outcome, Plan, ShareProvider, Task
+from tansykeel.interface import Outcome, Plan, RetryBudgetRule, ShareProvider, Task
 
 from .cold import SECOND
 from .nodes import Line
@@ -17,7 +17,7 @@
 
 
 class Extras:  # further hand-offs within each window's budget; an earlier life may have used up the first
-    def __init__(self, rule: BudgetRule, now: int) -> None:
+    def __init__(self, rule: RetryBudgetRule, now: int) -> None:
         self.rule, self.taken, self.extras, self.opens = rule, deque[int](), deque[int](), now + rule.span
 
     def room(self, now: int) -> bool:
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetRule:
+class RetryBudgetRule:
     span: int
     free: float
     share: float
@@ -118,7 +118,7 @@
     listing: Listing
     answer_grace: int
     cold: SlowStartRule | None
-    budget: BudgetRule | None
+    budget: RetryBudgetRule | None
     key_rest: int
     report_fields: tuple[str, ...]
     tells_elsewhere: bool = False
--- a/tansykeel/settings/facts.py
+++ b/tansykeel/settings/facts.py
@@ -6,7 +6,15 @@
 
 from __future__ import annotations
 
-from tansykeel.interface import Allowed, BudgetRule, Category, DeduplicationScope, Listing, RepeatSafety, SlowStartRule
+from tansykeel.interface import (
+    Allowed,
+    Category,
+    DeduplicationScope,
+    Listing,
+    RepeatSafety,
+    RetryBudgetRule,
+    SlowStartRule,
+)
 
 TENTH = 100_000  # nanoseconds in a tenth of a millisecond
 
@@ -57,9 +65,9 @@
     return SlowStartRule(share, ceil(warm_after), multiple, ceil(span), always_safe) if span else None
 
 
-def budget_rule(*, span: float, free: float, share: float) -> BudgetRule | None:
+def budget_rule(*, span: float, free: float, share: float) -> RetryBudgetRule | None:
     """None where no span is given: further hand-offs have no budget there."""
-    return BudgetRule(ceil(span), free, share) if span else None
+    return RetryBudgetRule(ceil(span), free, share) if span else None
 
 
 def allowed(
--- a/tests/audit/test_rules.py
+++ b/tests/audit/test_rules.py
@@ -29,12 +29,12 @@
 from tansykeel.audit.service import count
 from tansykeel.interface import (
     Allowed,
-    BudgetRule,
     Category,
     DeduplicationScope,
     Listing,
     Plan,
     RepeatSafety,
+    RetryBudgetRule,
     SchedulerConfig,
     Sizes,
     SlowStartRule,
@@ -59,7 +59,7 @@
         Listing(False, 0, 5_000),
         500,
         SlowStartRule(0.1, 100_000, 2.0, 10_000, 20.0),
-        BudgetRule(10_000, 1, 0.1),
+        RetryBudgetRule(10_000, 1, 0.1),
         2_000,
         (),
     ),
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -10,12 +10,12 @@
 from tansykeel.brain.volumes import Extras, VolumeState
 from tansykeel.interface import (
     Allowed,
-    BudgetRule,
     HandOff,
     Nack,
     Outcome,
     OutcomeKind,
     PeerMessage,
+    RetryBudgetRule,
     Volume,
     Wait,
     WakeReason,
@@ -23,7 +23,7 @@
 
 
 def test_further_hand_offs_stay_within_the_budget_of_every_window():
-    extras = Extras(BudgetRule(span=1_000, free=1.0, share=0.5), -10_000)
+    extras = Extras(RetryBudgetRule(span=1_000, free=1.0, share=0.5), -10_000)
     extras.taken.extend([0, 10])
     assert extras.room(20)
     extras.extras.extend([20, 30])
@@ -32,7 +32,7 @@
 
 
 def test_a_new_life_makes_no_further_hand_off_while_an_earlier_one_may_have_used_the_budget_up():
-    extras = Extras(BudgetRule(span=1_000, free=2.0, share=0.5), 500)
+    extras = Extras(RetryBudgetRule(span=1_000, free=2.0, share=0.5), 500)
     extras.taken.extend([600] * 9)
     assert not extras.room(600) and not extras.room(1_500)
     assert extras.room(1_501)
