--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class StoreListRule:
     """How the list of stores is followed."""
 
     must_ask: bool
@@ -115,7 +115,7 @@
     plans: tuple[Plan, ...]
     sizes: Sizes
     allowed: Allowed
-    listing: Listing
+    listing: StoreListRule
     answer_grace: int
     cold: SlowStartRule | None
     budget: RetryBudgetRule | None
--- a/tansykeel/settings/facts.py
+++ b/tansykeel/settings/facts.py
@@ -10,10 +10,10 @@
     Allowed,
     Category,
     DeduplicationScope,
-    Listing,
     RepeatSafety,
     RetryBudgetRule,
     SlowStartRule,
+    StoreListRule,
 )
 
 TENTH = 100_000  # nanoseconds in a tenth of a millisecond
@@ -83,5 +83,5 @@
     return Allowed(hand_offs, come_back, floor(longest_come_back), copies, cancel, probes, peers)
 
 
-def listing(*, must_ask: bool, ask_within: float, drain_grace: float) -> Listing:
-    return Listing(must_ask, floor(ask_within), floor(drain_grace))
+def listing(*, must_ask: bool, ask_within: float, drain_grace: float) -> StoreListRule:
+    return StoreListRule(must_ask, floor(ask_within), floor(drain_grace))
--- a/tests/audit/test_rules.py
+++ b/tests/audit/test_rules.py
@@ -31,13 +31,13 @@
     Allowed,
     Category,
     DeduplicationScope,
-    Listing,
     Plan,
     RepeatSafety,
     RetryBudgetRule,
     SchedulerConfig,
     Sizes,
     SlowStartRule,
+    StoreListRule,
 )
 from tansykeel.settings.shape import Shape
 
@@ -56,7 +56,7 @@
         (PLAN,),
         Sizes(4.0, 1.0),
         Allowed(3, True, 0, False, True, False),
-        Listing(False, 0, 5_000),
+        StoreListRule(False, 0, 5_000),
         500,
         SlowStartRule(0.1, 100_000, 2.0, 10_000, 20.0),
         RetryBudgetRule(10_000, 1, 0.1),
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -12,10 +12,10 @@
     BreakOff,
     DeduplicationScope,
     HandOff,
-    Listing,
     Nack,
     OutcomeKind,
     RetryBudgetRule,
+    StoreListRule,
     StoreState,
     Wait,
     WakeReason,
@@ -165,7 +165,7 @@
 
 def test_failed_calls_for_the_list_are_spaced_out_within_what_counts_as_told():
     """The list counts as told 6 s after it could be reached: half of it is left for a call that hangs and the next."""
-    brain, runtime = scheduler([], listing=Listing(True, 100_000, 10_000))
+    brain, runtime = scheduler([], listing=StoreListRule(True, 100_000, 10_000))
     assert runtime.watches == 1
     for _ in range(40):
         brain.list_failed()
@@ -179,7 +179,7 @@
 
 def test_a_pushed_list_that_ended_is_tried_anew_before_a_drain_s_grace_is_over():
     """What whoever pushes holds meanwhile counts as told, and calls there cost nothing."""
-    brain, runtime = scheduler([], listing=Listing(False, 0, 5_000))
+    brain, runtime = scheduler([], listing=StoreListRule(False, 0, 5_000))
     for _ in range(8):
         brain.list_failed()
     times = [at - runtime.now for at, call in runtime.alarms if call == runtime.request_store_list]
