--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -36,7 +36,7 @@
         self.by_shard: dict[int, Store] = {}
         self.next_new = seed
         self.asks = 0
-        if config.listing.must_ask:
+        if config.listing.must_poll:
             runtime.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -50,7 +50,7 @@
         self.waits, self.keys, self.asks, self.rank_due = Waits(), dict[int, KeyLine](), 0, 0
         self.extras = Extras(config.budget, runtime.now) if config.budget else None
         self.patience: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
-        if config.listing.must_ask:
+        if config.listing.must_poll:
             runtime.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
@@ -91,7 +91,7 @@
 
     def list_failed(self) -> None:
         # Guards against news that whoever pushes holds: it counts as told, and calls there cost nothing.
-        wait = min(SECOND * 2**self.asks, TOLD // 3) if self.config.listing.must_ask else ANEW
+        wait = min(SECOND * 2**self.asks, TOLD // 3) if self.config.listing.must_poll else ANEW
         self.asks += 1
         self.runtime.call_at(
             self.runtime.now + int(self.chance.uniform(0.5, 1.5) * wait), self.runtime.request_store_list
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -93,8 +93,8 @@
 class StoreListRule:
     """How the list of stores is followed."""
 
-    must_ask: bool
-    ask_within: int
+    must_poll: bool
+    poll_within: int
     drain_grace: int
 
 
--- a/tansykeel/settings/build.py
+++ b/tansykeel/settings/build.py
@@ -281,8 +281,8 @@
             peers=made.peers is not None,
         ),
         listing=make.listing(
-            must_ask=bool(made.listing and made.listing.mode == "ask"),
-            ask_within=(made.listing.ask_within_ms if made.listing else 0) * MS,
+            must_poll=bool(made.listing and made.listing.mode == "ask"),
+            poll_within=(made.listing.ask_within_ms if made.listing else 0) * MS,
             drain_grace=(made.listing.drain_grace_ms if made.listing else 0) * MS,
         ),
         answer_grace=make.floor(rules.answer_grace_ms * MS),
--- a/tansykeel/settings/facts.py
+++ b/tansykeel/settings/facts.py
@@ -83,5 +83,5 @@
     return Allowed(hand_offs, come_back, floor(longest_come_back), copies, cancel, probes, peers)
 
 
-def listing(*, must_ask: bool, ask_within: float, drain_grace: float) -> StoreListRule:
-    return StoreListRule(must_ask, floor(ask_within), floor(drain_grace))
+def listing(*, must_poll: bool, poll_within: float, drain_grace: float) -> StoreListRule:
+    return StoreListRule(must_poll, floor(poll_within), floor(drain_grace))
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -105,8 +105,8 @@
             peers=bool(limits.get("Peers")),
         ),
         listing=make.listing(
-            must_ask=raw["MembershipMode"] == "ask",
-            ask_within=rules.get("AskWithin") or 0,
+            must_poll=raw["MembershipMode"] == "ask",
+            poll_within=rules.get("AskWithin") or 0,
             drain_grace=rules.get("StopSendingWithin") or 0,
         ),
         answer_grace=floor(rules.get("GraceToAnswer") or 0),
