--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -29,11 +29,11 @@
     Plan,
     RepeatSafety,
     SchedulerConfig,
-    Sizes,
     Store,
     StoreListRule,
     StoreState,
     Task,
+    TaskSizes,
     Volume,
 )
 from tansykeel.runner import Runner  # noqa: E402
@@ -56,7 +56,7 @@
             0,
             (read,),
             (plan,),
-            Sizes(8.0, 2.0),
+            TaskSizes(8.0, 2.0),
             Allowed(3, True, 1_000, False, True, False),
             StoreListRule(False, 0, 5_000),
             50,
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sizes:
+class TaskSizes:
     largest: float
     usual: float
 
@@ -113,7 +113,7 @@
     zone: int
     categories: tuple[Category, ...]
     plans: tuple[Plan, ...]
-    sizes: Sizes
+    sizes: TaskSizes
     allowed: Allowed
     listing: StoreListRule
     answer_grace: int
--- a/tansykeel/settings/build.py
+++ b/tansykeel/settings/build.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tansykeel.interface import DeduplicationScope, Plan, RepeatSafety, SchedulerConfig, Sizes
+from tansykeel.interface import DeduplicationScope, Plan, RepeatSafety, SchedulerConfig, TaskSizes
 from tansykeel.settings import facts as make
 from tansykeel.settings import script
 from tansykeel.settings.records import (
@@ -270,7 +270,7 @@
             Plan(p.name, p.rate, p.reserve, p.weight, p.price, p.limit, p.limit_depth, p.limit_slack)
             for p in made.plans
         ),
-        sizes=Sizes(made.sizes.largest, made.sizes.usual),
+        sizes=TaskSizes(made.sizes.largest, made.sizes.usual),
         allowed=make.allowed(
             hand_offs=rules.hand_offs,
             come_back=rules.come_back,
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from tansykeel.errors import Problem
-from tansykeel.interface import DeduplicationScope, Plan, RepeatSafety, SchedulerConfig, Sizes
+from tansykeel.interface import DeduplicationScope, Plan, RepeatSafety, SchedulerConfig, TaskSizes
 from tansykeel.settings import facts as make
 from tansykeel.settings.facts import ceil, floor
 
@@ -94,7 +94,7 @@
         zone=raw["Zone"],
         categories=categories,
         plans=plans,
-        sizes=Sizes(specifics.get("Largest") or 0.0, specifics.get("UsualUnits") or 0.0),
+        sizes=TaskSizes(specifics.get("Largest") or 0.0, specifics.get("UsualUnits") or 0.0),
         allowed=make.allowed(
             hand_offs=limits["MostTries"],
             come_back=bool(limits.get("RetryAfter")),
--- a/tests/audit/test_rules.py
+++ b/tests/audit/test_rules.py
@@ -35,9 +35,9 @@
     RepeatSafety,
     RetryBudgetRule,
     SchedulerConfig,
-    Sizes,
     SlowStartRule,
     StoreListRule,
+    TaskSizes,
 )
 from tansykeel.settings.shape import Shape
 
@@ -54,7 +54,7 @@
         0,
         (READ, POST, PAY),
         (PLAN,),
-        Sizes(4.0, 1.0),
+        TaskSizes(4.0, 1.0),
         Allowed(3, True, 0, False, True, False),
         StoreListRule(False, 0, 5_000),
         500,
