--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -21,7 +21,7 @@
 
 from tansykeel.brain import Scheduler  # noqa: E402
 from tansykeel.interface import (  # noqa: E402
-    Allowed,
+    AllowedActions,
     Category,
     DeduplicationScope,
     Outcome,
@@ -57,7 +57,7 @@
             (read,),
             (plan,),
             TaskSizes(8.0, 2.0),
-            Allowed(3, True, 1_000, False, True, False),
+            AllowedActions(3, True, 1_000, False, True, False),
             StoreListRule(False, 0, 5_000),
             50,
             None,
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
+class AllowedActions:
     hand_offs: int
     come_back: bool
     longest_come_back: int
@@ -114,7 +114,7 @@
     categories: tuple[Category, ...]
     plans: tuple[Plan, ...]
     sizes: TaskSizes
-    allowed: Allowed
+    allowed: AllowedActions
     listing: StoreListRule
     answer_grace: int
     cold: SlowStartRule | None
--- a/tansykeel/platform/request_rules.py
+++ b/tansykeel/platform/request_rules.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from tansykeel.edge.tasks import Attempt, Held
-from tansykeel.interface import Allowed, RepeatSafety, StoreState
+from tansykeel.interface import AllowedActions, RepeatSafety, StoreState
 
 OVERDUE = 1_000  # tenths after a task's deadline (which is up to 0.1 s before its client's) at which it must be over
 MOST_LOGGED = 20  # violations of one invariant that are logged; all are counted
@@ -46,7 +46,7 @@
     return Verdict.NOW
 
 
-def violation_of_attempt(attempt: Attempt, allowed: Allowed) -> Invariant | None:
+def violation_of_attempt(attempt: Attempt, allowed: AllowedActions) -> Invariant | None:
     """Return the invariant that an attempt would break if it were written now."""
     held, task = attempt.held, attempt.held.task
     if held.answered:
--- a/tansykeel/settings/facts.py
+++ b/tansykeel/settings/facts.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from tansykeel.interface import (
-    Allowed,
+    AllowedActions,
     Category,
     DeduplicationScope,
     RepeatSafety,
@@ -79,8 +79,8 @@
     cancel: bool,
     probes: bool,
     peers: bool = False,
-) -> Allowed:
-    return Allowed(hand_offs, come_back, floor(longest_come_back), copies, cancel, probes, peers)
+) -> AllowedActions:
+    return AllowedActions(hand_offs, come_back, floor(longest_come_back), copies, cancel, probes, peers)
 
 
 def listing(*, must_poll: bool, poll_within: float, drain_grace: float) -> StoreListRule:
--- a/tests/audit/test_rules.py
+++ b/tests/audit/test_rules.py
@@ -28,7 +28,7 @@
 from tansykeel.audit.rules import RULES, Law
 from tansykeel.audit.service import count
 from tansykeel.interface import (
-    Allowed,
+    AllowedActions,
     Category,
     DeduplicationScope,
     Plan,
@@ -55,7 +55,7 @@
         (READ, POST, PAY),
         (PLAN,),
         TaskSizes(4.0, 1.0),
-        Allowed(3, True, 0, False, True, False),
+        AllowedActions(3, True, 0, False, True, False),
         StoreListRule(False, 0, 5_000),
         500,
         SlowStartRule(0.1, 100_000, 2.0, 10_000, 20.0),
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -9,7 +9,7 @@
 
 from tansykeel.brain.volumes import Extras, VolumeState
 from tansykeel.interface import (
-    Allowed,
+    AllowedActions,
     HandOff,
     Nack,
     Outcome,
@@ -83,7 +83,7 @@
 
 
 LIMITED = replace(PLAN, limit=4.0, limit_depth=40.0)
-TALK = Allowed(3, False, 0, False, True, False, peers=True)
+TALK = AllowedActions(3, False, 0, False, True, False, peers=True)
 
 
 def of_gateways(*numbers):
--- a/tests/brain/test_rates.py
+++ b/tests/brain/test_rates.py
@@ -11,7 +11,7 @@
 
 from tansykeel.brain.rates import left
 from tansykeel.interface import (
-    Allowed,
+    AllowedActions,
     OutcomeKind,
     StoreState,
     Volume,
@@ -75,7 +75,7 @@
 def test_no_task_goes_again_beside_one_that_is_out_where_neither_cancels_nor_copies_are_allowed(copies, cancel, soon):
     """Guards against a second copy: what timed out is still out on its open connection."""
     at = store()
-    brain, runtime = scheduler([at], allowed=Allowed(3, False, 0, copies, cancel, False))
+    brain, runtime = scheduler([at], allowed=AllowedActions(3, False, 0, copies, cancel, False))
     heard(brain.nodes[at], 100, 100, 100)
     brain.waits.lost, sent = runtime.now + 1, task(runtime)
     sent.hand_offs = 1
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,7 +8,7 @@
 
 from tansykeel.brain import Scheduler
 from tansykeel.interface import (
-    Allowed,
+    AllowedActions,
     Category,
     DeduplicationScope,
     EvenShares,
@@ -71,7 +71,7 @@
         categories=(IDEMPOTENT,),
         plans=(PLAN,),
         sizes=TaskSizes(8.0, 2.0),
-        allowed=Allowed(3, False, 0, False, True, False),
+        allowed=AllowedActions(3, False, 0, False, True, False),
         listing=StoreListRule(False, 0, 10_000),
         answer_grace=80,
         cold=None,
