--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -58,7 +58,7 @@
         cold, gateways = self.config.cold, self.config.gateways
         for store in stores:
             if store not in self.nodes and store.state is not StoreState.GONE:
-                young = Young(cold, gateways, self.config.me, self.least) if cold else None
+                young = Young(cold, gateways, self.config.gateway_index, self.least) if cold else None
                 self.nodes[store] = Node(
                     store,
                     self.runtime,
--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -62,7 +62,7 @@
         return PeerMessage(volume, share.units, share.gift) if volume is not None or share.volume is None else None
 
     def share_of(self, word: PeerMessage) -> Share:
-        return Share(self.facts.me, word.volume.handle if word.volume else None, word.units, word.is_grant)
+        return Share(self.facts.gateway_index, word.volume.handle if word.volume else None, word.units, word.is_grant)
 
 
 def bounds_of(gateway: Gateway) -> Bounds:
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -68,10 +68,10 @@
         claimed: ClaimObserver | None = None,
     ) -> None:
         self.settings, self.gateway = settings, settings.gateway
-        self.log = structlog.get_logger().bind(gateway=self.gateway.named(facts.me))
+        self.log = structlog.get_logger().bind(gateway=self.gateway.named(facts.gateway_index))
         self.trace, self.sample, self._logged = trace, sample, 0
         self.incarnation = time.time_ns() & (2**62 - 1)
-        self.hello = Hello(1, "edge", self.gateway.named(facts.me), self.incarnation, 0)
+        self.hello = Hello(1, "edge", self.gateway.named(facts.gateway_index), self.incarnation, 0)
         self.hub = Hub(Limits(stall=settings.gateway.peer_stall_s))
         self.clients: set[Link] = set()
         self._reminder = Reminder(lambda now: self.core.tick(now))
@@ -88,7 +88,7 @@
             self.peers = Peers(
                 settings.peers.addresses,
                 names,
-                facts.me,
+                facts.gateway_index,
                 self.hub,
                 msgspec.structs.replace(self.hello, role="peer"),
                 settings.peers.connect_timeout_ms / 1000,
@@ -99,7 +99,7 @@
                 self.cluster_agent = ClusterAgent(
                     settings.peers,
                     names,
-                    facts.me,
+                    facts.gateway_index,
                     self.hello,
                     seed,
                     self.peers,
@@ -111,7 +111,7 @@
         self.control_session: ControlSession | None = None
         if settings.control:
             self.control_session = control_session_of(
-                settings, facts.me, self.incarnation, seed, self.hub, self.log, claimed
+                settings, facts.gateway_index, self.incarnation, seed, self.hub, self.log, claimed
             )
         self.core = Core(
             facts,
@@ -146,7 +146,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stopping.set)
         loop.set_exception_handler(self._broken)
-        listener = listening(self.settings.listens_at(self.core.facts.me))
+        listener = listening(self.settings.listens_at(self.core.facts.gateway_index))
         self.hub.start()
         accepting = loop.create_task(accept_all(listener, self._accept, self.stores.pressure))
         sweeping = loop.create_task(self._sweep())
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -142,18 +142,18 @@
 
     def turn(self, task: Task) -> None:
         """The gateway may be another than the one whose event led to this: it is told by an event of its own."""
-        gateway = self.eye.gateways[self.config.me]
+        gateway = self.eye.gateways[self.config.gateway_index]
         self.runtime.wake(task, WakeReason.GRANTED)
         gateway.engine.after(0, gateway.tell, gateway.life, self.look)
 
     def look(self) -> None:
-        gateway = self.eye.gateways[self.config.me]
+        gateway = self.eye.gateways[self.config.gateway_index]
         gateway.core.runner.advance_clock(gateway.clock())
         gateway.core.runner.run_pending()
 
     def true_store(self, task: Task) -> tuple[Store, SimStore] | None:
         """The store for a task, if the list tells of the one that is there; the emptiest for a new object."""
-        addresses = self.eye.gateways[self.config.me].core.addresses
+        addresses = self.eye.gateways[self.config.gateway_index].core.addresses
         listed = [store for store in self.by_shard.values() if task.shard in (None, store.shard)]
         there = [(store, self.eye.stores[addresses[store]]) for store in listed]
         found = [(store, true) for store, true in there if store.state is StoreState.READY and true.listening]
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -109,7 +109,7 @@
     """What an instance is told at its start; each part of the module is handed only what it needs of it."""
 
     gateways: int
-    me: int
+    gateway_index: int
     zone: int
     categories: tuple[Category, ...]
     plans: tuple[Plan, ...]
--- a/tansykeel/settings/build.py
+++ b/tansykeel/settings/build.py
@@ -249,7 +249,7 @@
     rules, cold, budget = made.rules, made.rules.cold, made.rules.budget
     return SchedulerConfig(
         gateways=count,
-        me=number,
+        gateway_index=number,
         zone=made.gateway.zone,
         categories=tuple(
             make.category(
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -90,7 +90,7 @@
     )
     return SchedulerConfig(
         gateways=raw["Siblings"],
-        me=raw["Me"],
+        gateway_index=raw["Me"],
         zone=raw["Zone"],
         categories=categories,
         plans=plans,
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -232,7 +232,10 @@
     rate, chance = load * warm_n / (rule.multiple * rule.share * rule.span), random.Random(7)
     worst = -9.0
     for _ in range(12):
-        brains = [scheduler([store(started=1_000_000)], cold=rule, gateways=gateways, me=me) for me in range(gateways)]
+        brains = [
+            scheduler([store(started=1_000_000)], cold=rule, gateways=gateways, gateway_index=me)
+            for me in range(gateways)
+        ]
         nodes = [next(iter(brain.nodes.values())) for brain, _ in brains]
         lines = [brain.line_of(node, Volume("v", PLAN)) for (brain, _), node in zip(brains, nodes, strict=True)]
         weights = [3.0 if n % 4 == 0 else 1.0 for n in range(gateways)]
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -88,7 +88,7 @@
 
 def of_gateways(*numbers):
     """Schedulers of one volume's gateways whose words reach each other, and what they have of its limit."""
-    made = [scheduler([store()], gateways=len(numbers), me=number, allowed=TALK) for number in numbers]
+    made = [scheduler([store()], gateways=len(numbers), gateway_index=number, allowed=TALK) for number in numbers]
     volumes = [Volume("v", LIMITED, float(len(numbers))) for _ in numbers]
     return made, volumes, [brain.state_of(volume) for (brain, _), volume in zip(made, volumes, strict=True)]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -66,7 +66,7 @@
 def facts(**changes: Any) -> SchedulerConfig:
     base: dict[str, Any] = dict(
         gateways=2,
-        me=0,
+        gateway_index=0,
         zone=0,
         categories=(IDEMPOTENT,),
         plans=(PLAN,),
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -32,7 +32,7 @@
 
 def test_facts_come_from_the_script_and_round_against_ourselves(written):
     facts = facts_of(load(written(GOOD)), 1, 3)
-    assert (facts.me, facts.gateways, facts.listing.must_poll) == (1, 3, True)
+    assert (facts.gateway_index, facts.gateways, facts.listing.must_poll) == (1, 3, True)
     assert [c.soft_limit for c in facts.categories] == [2500, 2500]
     assert facts.categories[1].repeat is RepeatSafety.DEDUPLICATED and facts.key_rest == 1
     assert facts.cold.span == 10_000 and facts.budget.free == 3
