--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -69,7 +69,7 @@
     world = World(day, seed)
     world.play()
     passed = world.passed
-    cold = law_of(day).facts.cold
+    cold = law_of(day).facts.slow_start
     usual, warm = mean_units(day), cold.warm_after * 100
 
     def budget(age: float) -> float:
--- a/tansykeel/audit/rules.py
+++ b/tansykeel/audit/rules.py
@@ -153,7 +153,7 @@
 
 def cold_margins(passed: Passed, law: Law) -> Iterator[tuple[Up, float, int]]:
     """For each cold start the most that was sent in a window, as a part of what is borne, and when."""
-    cold = law.facts.cold
+    cold = law.facts.slow_start
     if cold is None:
         return
     span, shape = cold.span * TENTH, law.shape
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -55,7 +55,7 @@
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
         self.asks = 0 if confirmed else self.asks
-        cold, gateways = self.config.cold, self.config.gateways
+        cold, gateways = self.config.slow_start, self.config.gateways
         for store in stores:
             if store not in self.nodes and store.state is not StoreState.GONE:
                 young = Young(cold, gateways, self.config.gateway_index, self.least) if cold else None
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -145,7 +145,7 @@
 
     def _seen(self) -> tuple[dict[str, str], list[str]]:
         """Who went unasked and how, and who of those that did is there and whole."""
-        now, cold = self.core.runner.now, self.core.facts.cold
+        now, cold = self.core.runner.now, self.core.facts.slow_start
         others = self.cluster_member.failure_detector.others.values()
         gone = {other.name: "died" for other in others if other.seems is MemberState.DEAD}
         alive = [other.name for other in others if other.seems is MemberState.ALIVE and other.life]
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -117,7 +117,7 @@
     allowed: AllowedActions
     listing: StoreListRule
     answer_grace: int
-    cold: SlowStartRule | None
+    slow_start: SlowStartRule | None
     budget: RetryBudgetRule | None
     key_rest: int
     report_fields: tuple[str, ...]
--- a/tansykeel/settings/build.py
+++ b/tansykeel/settings/build.py
@@ -286,7 +286,7 @@
             drain_grace=(made.listing.drain_grace_ms if made.listing else 0) * MS,
         ),
         answer_grace=make.floor(rules.answer_grace_ms * MS),
-        cold=make.cold_rule(
+        slow_start=make.cold_rule(
             share=cold.share,
             warm_after=cold.warm_s * 1000 * MS,
             multiple=cold.multiple,
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -110,7 +110,7 @@
             drain_grace=rules.get("StopSendingWithin") or 0,
         ),
         answer_grace=floor(rules.get("GraceToAnswer") or 0),
-        cold=cold,
+        slow_start=cold,
         budget=budget,
         key_rest=ceil(rules.get("KeyQuiet") or 0),
         report_fields=tuple((raw.get("Report") or {}).get("Fields") or ()),
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -59,7 +59,7 @@
 def test_what_is_asked_of_a_young_store_earns_the_part_that_it_bears(clear, age, part):
     """Guards against gateways that were restarted: they know of no past use, and sent a new store next to nothing."""
     at = store(started=1_000_000 - age)
-    brain, runtime = scheduler([at], cold=replace(COLD, always_safe=0.0))
+    brain, runtime = scheduler([at], slow_start=replace(COLD, always_safe=0.0))
     node = brain.nodes[at]
     if clear:
         heard(node, 100, 100)
@@ -73,7 +73,7 @@
     """It answers as quickly as a warm one although it bears less; its volume asks for what it does when warm."""
     asked_per_second, units = 200, 2.0
     at = store(started=1_000_000 - 100)
-    brain, runtime = scheduler([at], cold=replace(COLD, always_safe=0.0))
+    brain, runtime = scheduler([at], slow_start=replace(COLD, always_safe=0.0))
     node, volume = brain.nodes[at], Volume("v", replace(PLAN, rate=asked_per_second * units))
     node.young.room(at, runtime.now, 8.0, 0)
     node.out = 99  # nothing leaves
@@ -90,7 +90,7 @@
 def test_a_further_try_earns_nothing_and_a_surge_no_more_than_the_volume_is_sized_for():
     """Guards against a store pushed over by what comes again, or by volumes that ask for many times their rate."""
     at = store(started=999_000)
-    brain, runtime = scheduler([at], cold=replace(COLD, always_safe=0.0), gateways=4)
+    brain, runtime = scheduler([at], slow_start=replace(COLD, always_safe=0.0), gateways=4)
     node, volume = brain.nodes[at], Volume("v", replace(PLAN, rate=4.0), gateways=2.0)
     node.young.room(at, runtime.now, 8.0, 0)
     node.young.largest, node.out = 1e9, 99
@@ -110,7 +110,7 @@
 
 def test_a_volume_on_two_shards_counts_with_half_of_its_rate_at_each():
     stores = [store(started=999_000, shard=0), store(started=999_000, shard=1)]
-    brain, runtime = scheduler(stores, cold=replace(COLD, always_safe=0.0, span=100))
+    brain, runtime = scheduler(stores, slow_start=replace(COLD, always_safe=0.0, span=100))
     volume = Volume("v", replace(PLAN, rate=100.0), gateways=1.0)
     for at in stores:
         brain.nodes[at].out = 99
@@ -135,7 +135,7 @@
 def test_no_round_before_a_task_could_find_room_at_a_cold_node():
     """Guards against a round each 10 ms, for every gateway and node, that can send nothing."""
     at = store(started=999_000)
-    brain, runtime = scheduler([at], cold=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], slow_start=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
     node.young.room(at, runtime.now, 2.0, 0)
     node.young.credit = 2.0 * node.young.phase - 0.03
@@ -153,7 +153,7 @@
 def test_credit_from_before_a_store_was_found_out_of_reach_is_gone():
     """Guards against all gateways spending at once what they saved while it was away."""
     at = store(started=500_000)
-    brain, runtime = scheduler([at], cold=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], slow_start=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     runtime.now = 505_000
     node = brain.nodes[at]
     node.young.room(at, runtime.now, 8.0, 0)
@@ -175,7 +175,7 @@
 )
 def test_only_a_store_that_stays_out_of_reach_counts_as_just_started(hows, room):
     at = store()
-    brain, runtime = scheduler([at], cold=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], slow_start=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
     for how in hows:
         sent = task(runtime)
@@ -189,7 +189,7 @@
 def test_a_suspicion_ends_with_an_answer_as_quick_as_before(times, warm):
     """Guards against a cut zone that is throttled as cold for seconds after it healed."""
     at = store()
-    brain, runtime = scheduler([at], cold=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], slow_start=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
     heard(node, 100, 100, 100)
     for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
@@ -206,7 +206,7 @@
 def test_a_store_that_answers_and_of_which_no_start_was_told_had_not_started():
     """Guards against a cut link that leaves a warm store with what a cold one gets, for all the time of warming."""
     at = store()
-    brain, runtime = scheduler([at], cold=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
+    brain, runtime = scheduler([at], slow_start=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node, failed = brain.nodes[at], runtime.now
     for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
         sent = task(runtime)
@@ -233,7 +233,7 @@
     worst = -9.0
     for _ in range(12):
         brains = [
-            scheduler([store(started=1_000_000)], cold=rule, gateways=gateways, gateway_index=me)
+            scheduler([store(started=1_000_000)], slow_start=rule, gateways=gateways, gateway_index=me)
             for me in range(gateways)
         ]
         nodes = [next(iter(brain.nodes.values())) for brain, _ in brains]
--- a/tests/brain/test_cold_fleet.py
+++ b/tests/brain/test_cold_fleet.py
@@ -63,7 +63,7 @@
     rule = replace(RULE, always_safe=0.7 * budget(capacity, START) * UNITS)
     made = []
     for me in range(gateways):
-        brain, runtime = scheduler([store(started=START)], cold=rule, gateways=gateways, gateway_index=me)
+        brain, runtime = scheduler([store(started=START)], slow_start=rule, gateways=gateways, gateway_index=me)
         node = next(iter(brain.nodes.values()))
         made.append(Gateway(node, brain.line_of(node, Volume("v", PLAN)), runtime))
     return made
--- a/tests/broken_edge.py
+++ b/tests/broken_edge.py
@@ -50,7 +50,7 @@
 
 
 def knows_no_cold_store(facts):
-    return replace(facts, cold=None)
+    return replace(facts, slow_start=None)
 
 
 def keeps_no_order(facts):
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -139,7 +139,7 @@
     """Knows nothing of cold stores: broken on purpose."""
 
     def __init__(self, config, seed, runtime):
-        super().__init__(replace(config, cold=None), seed, runtime)
+        super().__init__(replace(config, slow_start=None), seed, runtime)
 
 
 def test_a_broken_module_is_caught_here_too(world):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -74,7 +74,7 @@
         allowed=AllowedActions(3, False, 0, False, True, False),
         listing=StoreListRule(False, 0, 10_000),
         answer_grace=80,
-        cold=None,
+        slow_start=None,
         budget=None,
         key_rest=0,
         report_fields=(),
--- a/tests/rehearse/test_day.py
+++ b/tests/rehearse/test_day.py
@@ -116,5 +116,5 @@
     made = settings_of(one, "127.0.0.1:9", "127.0.0.1:0")
     facts = facts_of(made, 2, 3)
     shape = one.fleet.shape
-    assert facts.cold.always_safe == pytest.approx(shape.fall_multiple * shape.cold_share * 200 * shape.fall_s)
+    assert facts.slow_start.always_safe == pytest.approx(shape.fall_multiple * shape.cold_share * 200 * shape.fall_s)
     assert facts.plans[0].limit_depth >= 2 * facts.sizes.largest * 2 and len(made.volumes) == 6
