--- a/tansykeel/audit/rules.py
+++ b/tansykeel/audit/rules.py
@@ -215,7 +215,7 @@
 
 def budget(passed: Passed, law: Law) -> Iterator[Break]:
     """Rule 6: further hand-offs of an edge in any window within the stated few and share of the tasks it took."""
-    rule = law.facts.budget
+    rule = law.facts.retry_budget
     if rule is None:
         return
     span, jitter = rule.span * TENTH, SLACK / 5
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -48,7 +48,7 @@
         self.least, self.usual = max(config.sizes.largest, 1.0), max(config.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
         self.waits, self.keys, self.asks, self.rank_due = Waits(), dict[int, KeyLine](), 0, 0
-        self.extras = Extras(config.budget, runtime.now) if config.budget else None
+        self.extras = Extras(config.retry_budget, runtime.now) if config.retry_budget else None
         self.patience: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
         if config.listing.must_poll:
             runtime.request_store_list()
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -138,7 +138,7 @@
     def __init__(self, eye: Eye, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         super().__init__(config, seed, runtime)
         self.eye = eye
-        self.extras = Extras(config.budget, runtime.now) if config.budget else None
+        self.extras = Extras(config.retry_budget, runtime.now) if config.retry_budget else None
 
     def turn(self, task: Task) -> None:
         """The gateway may be another than the one whose event led to this: it is told by an event of its own."""
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -118,7 +118,7 @@
     listing: StoreListRule
     answer_grace: int
     slow_start: SlowStartRule | None
-    budget: RetryBudgetRule | None
+    retry_budget: RetryBudgetRule | None
     key_rest: int
     report_fields: tuple[str, ...]
     tells_elsewhere: bool = False
--- a/tansykeel/settings/build.py
+++ b/tansykeel/settings/build.py
@@ -295,7 +295,9 @@
         )
         if cold
         else None,
-        budget=make.budget_rule(span=budget.span_ms * MS, free=budget.free, share=budget.share) if budget else None,
+        retry_budget=make.budget_rule(span=budget.span_ms * MS, free=budget.free, share=budget.share)
+        if budget
+        else None,
         key_rest=make.ceil(rules.key_rest_ms * MS),
         report_fields=(),
         tells_elsewhere=rules.tells == "node",
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -111,7 +111,7 @@
         ),
         answer_grace=floor(rules.get("GraceToAnswer") or 0),
         slow_start=cold,
-        budget=budget,
+        retry_budget=budget,
         key_rest=ceil(rules.get("KeyQuiet") or 0),
         report_fields=tuple((raw.get("Report") or {}).get("Fields") or ()),
         tells_elsewhere=bool(specifics.get("TellsElsewhere")),
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -126,7 +126,7 @@
     ],
 )
 def test_a_hand_off_is_legal_only_within_tries_budget_and_time(sent, extras, later, legal):
-    brain, runtime = scheduler([store()], budget=RetryBudgetRule(span=50_000, free=1.0, share=0.0))
+    brain, runtime = scheduler([store()], retry_budget=RetryBudgetRule(span=50_000, free=1.0, share=0.0))
     runtime.now += 60_000
     again = task(runtime)
     again.hand_offs = sent
@@ -136,7 +136,7 @@
 
 
 def test_what_is_no_longer_legal_at_the_turn_is_taken_back():
-    brain, runtime = scheduler([store()], budget=RetryBudgetRule(span=50_000, free=1.0, share=0.0))
+    brain, runtime = scheduler([store()], retry_budget=RetryBudgetRule(span=50_000, free=1.0, share=0.0))
     runtime.now += 60_000
     run, node = brain.serve(task(runtime)), next(iter(brain.nodes.values()))
     turn(run, runtime, brain)
--- a/tests/broken_edge.py
+++ b/tests/broken_edge.py
@@ -58,7 +58,7 @@
 
 
 def has_no_budget(facts):
-    return replace(facts, budget=None)
+    return replace(facts, retry_budget=None)
 
 
 def knows_no_limit(facts):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -75,7 +75,7 @@
         listing=StoreListRule(False, 0, 10_000),
         answer_grace=80,
         slow_start=None,
-        budget=None,
+        retry_budget=None,
         key_rest=0,
         report_fields=(),
     )
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -35,7 +35,7 @@
     assert (facts.gateway_index, facts.gateways, facts.listing.must_poll) == (1, 3, True)
     assert [c.soft_limit for c in facts.categories] == [2500, 2500]
     assert facts.categories[1].repeat is RepeatSafety.DEDUPLICATED and facts.key_rest == 1
-    assert facts.slow_start.span == 10_000 and facts.budget.free == 3
+    assert facts.slow_start.span == 10_000 and facts.retry_budget.free == 3
 
 
 TWO = 'peers(addresses = ["127.0.0.1:7001", "127.0.0.1:7002"])'
