--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -106,7 +106,7 @@
             key=event.key,
             arrived=self.runner.now,
             deadline=_floor(event.not_after),
-            again=bool(event.bits & 2),
+            resent=bool(event.bits & 2),
         )
         self.tasks[event.id] = task
         self.runner.start(task, self.brain.serve(task))
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -130,7 +130,7 @@
             aim = min(now + task.category.soft_limit, task.deadline)
         if self.extras:
             self.extras.taken.append(now)
-        node, line, first = None, None, not task.again and task.shard is not None
+        node, line, first = None, None, not task.resent and task.shard is not None
         try:
             in_turn = not (task.category.ordered and task.key) or (yield from self.turn_on_key(task, aim))
             while in_turn and self.may_hand_off(task):
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -155,7 +155,7 @@
     key: int
     arrived: int
     deadline: int
-    again: bool = False
+    resent: bool = False
     hand_offs: int = 0
     may_have_run: list[tuple[Store, int]] = field(default_factory=list)
 
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -95,7 +95,7 @@
     node.young.room(at, runtime.now, 8.0, 0)
     node.young.largest, node.out = 1e9, 99
     again = task(runtime)
-    again.again = True
+    again.resent = True
     next(brain.serve(again))
     assert node.young.credit == 0
     node.young.largest = 8.0
@@ -140,7 +140,7 @@
     node.young.room(at, runtime.now, 2.0, 0)
     node.young.credit = 2.0 * node.young.phase - 0.03
     again = task(runtime)
-    again.again = True  # it earns nothing
+    again.resent = True  # it earns nothing
     run = brain.serve(again)
     next(run)
     assert node.held == 1 and runtime.now + 100 < node.young.due < runtime.now + 1_000
