--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -104,7 +104,7 @@
         self.now = moment
         self.runner.advance_clock(moment)
 
-    def hand_off(self, task: Task, store: Store, time_out: int) -> None:
+    def hand_off(self, task: Task, store: Store, timeout: int) -> None:
         self.push(self.now + LAG, "outcome", task)
 
     def set_timer(self, at: int) -> None:
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -140,8 +140,8 @@
     def reminder(self) -> None:
         self.runner.timer_fired()
 
-    def hand_off(self, task: Task, store: Store, time_out: int) -> None:
-        self.outbox.transmit(self.who, task.handle, store.handle, time_out * TENTH)
+    def hand_off(self, task: Task, store: Store, timeout: int) -> None:
+        self.outbox.transmit(self.who, task.handle, store.handle, timeout * TENTH)
 
     def nack(self, task: Task, come_back: int) -> None:
         self.tasks.pop(task.handle, None)
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -163,7 +163,7 @@
                     node.recall(task)
                     continue
                 self.spend(task, line, state)
-                sent, outcome = self.runtime.now, (yield HandOff(node.store, self.time_out(task, node, aim)))
+                sent, outcome = self.runtime.now, (yield HandOff(node.store, self.timeout(task, node, aim)))
                 assert isinstance(outcome, Outcome)
                 node.learn(task, outcome)
                 if outcome.kind is OutcomeKind.DELIVERED and (
@@ -191,7 +191,7 @@
             state.short.pop(task, None)
             self.leave_key(task)
 
-    def time_out(self, task: Task, node: Node, aim: int) -> int:
+    def timeout(self, task: Task, node: Node, aim: int) -> int:
         """After what time a harmless task goes again, if answers are lost and it can be in time, else 0."""
         now, may, sure = (
             self.runtime.now,
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -245,10 +245,10 @@
 
     # The module's door
 
-    def hand_off(self, task: Task, store: Store, time_out: int) -> None:
+    def hand_off(self, task: Task, store: Store, timeout: int) -> None:
         held: Held = task.handle
         now = self.runner.now
-        until = min(now + time_out, task.deadline) if time_out > 0 else task.deadline
+        until = min(now + timeout, task.deadline) if timeout > 0 else task.deadline
         attempt = Attempt(held, store, task.hand_offs - 1, now, until)
         held.out.append(attempt)
         self.counts.hand_offs += 1
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -206,7 +206,7 @@
     """Send the task to a store; resumed with the Outcome. A time-out of 0 runs to the deadline."""
 
     store: Store
-    time_out: int = 0
+    timeout: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -260,7 +260,7 @@
 class EffectHandler(Protocol):
     """What the runner needs of the outside."""
 
-    def hand_off(self, task: Task, store: Store, time_out: int) -> None: ...
+    def hand_off(self, task: Task, store: Store, timeout: int) -> None: ...
     def nack(self, task: Task, come_back: int) -> None: ...
     def break_off(self, task: Task) -> None: ...
     def set_timer(self, at: int) -> None: ...
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -114,7 +114,7 @@
             return
         match want:
             case HandOff():
-                self._effects.hand_off(task, want.store, want.time_out)
+                self._effects.hand_off(task, want.store, want.timeout)
             case Wait():
                 self._count += 1
                 self._waits[task] = self._count
--- a/tests/brain/test_rates.py
+++ b/tests/brain/test_rates.py
@@ -79,7 +79,7 @@
     heard(brain.nodes[at], 100, 100, 100)
     brain.waits.lost, sent = runtime.now + 1, task(runtime)
     sent.hand_offs = 1
-    assert (brain.time_out(sent, brain.nodes[at], runtime.now + 2_500) > 0) is soon
+    assert (brain.timeout(sent, brain.nodes[at], runtime.now + 2_500) > 0) is soon
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
     brain.waits.lost = runtime.now + lost
     sent = task(runtime, category=category)
     sent.hand_offs = hand_offs
-    assert (0 < brain.time_out(sent, brain.nodes[at], runtime.now + 2_500) < 2_000) is soon
+    assert (0 < brain.timeout(sent, brain.nodes[at], runtime.now + 2_500) < 2_000) is soon
 
 
 @pytest.mark.parametrize(
