--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -110,7 +110,7 @@
     def set_timer(self, at: int) -> None:
         self.push(at, "remind")
 
-    def nack(self, task: Task, come_back: int) -> None:
+    def nack(self, task: Task, retry_after: int) -> None:
         pass
 
     def break_off(self, task: Task) -> None:
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -143,9 +143,9 @@
     def hand_off(self, task: Task, store: Store, timeout: int) -> None:
         self.outbox.transmit(self.who, task.handle, store.handle, timeout * TENTH)
 
-    def nack(self, task: Task, come_back: int) -> None:
+    def nack(self, task: Task, retry_after: int) -> None:
         self.tasks.pop(task.handle, None)
-        self.outbox.decline(self.who, task.handle, come_back * TENTH)
+        self.outbox.decline(self.who, task.handle, retry_after * TENTH)
 
     def break_off(self, task: Task) -> None:
         self.tasks.pop(task.handle, None)
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -306,8 +306,8 @@
         sure = of.repeat is RepeatSafety.IDEMPOTENT or (
             of.repeat is RepeatSafety.DEDUPLICATED and of.scope is DeduplicationScope.ALL
         )
-        come_back = min(self.tightest, allowed.longest_come_back) if allowed.come_back else 0
-        return BreakOff() if task.may_have_run and not sure else Nack(come_back)
+        retry_after = min(self.tightest, allowed.longest_retry_after) if allowed.retry_after else 0
+        return BreakOff() if task.may_have_run and not sure else Nack(retry_after)
 
     def turn_on_key(self, task: Task, aim: int) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
         """Wait until the task is first on its key and the key has rested; False if that comes too late."""
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -255,8 +255,8 @@
         self.runner.call_at(until, partial(self._timed_out, attempt))
         self.wire.hand_off(attempt)
 
-    def nack(self, task: Task, come_back: int) -> None:
-        self._final(task.handle, Nack(come_back), "")
+    def nack(self, task: Task, retry_after: int) -> None:
+        self._final(task.handle, Nack(retry_after), "")
 
     def break_off(self, task: Task) -> None:
         self._final(task.handle, BreakOff(), "")
@@ -338,7 +338,7 @@
         if held.answered:
             return
         if isinstance(want, Nack):
-            self._answer(held, Final(NACKED, want.come_back, reason=reason[:500]), [])
+            self._answer(held, Final(NACKED, want.retry_after, reason=reason[:500]), [])
         else:
             self._answer(held, Final(BROKEN_OFF, reason=reason[:500]), [])
         self._let_go(held)
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -63,8 +63,8 @@
 @dataclass(frozen=True, slots=True)
 class AllowedActions:
     hand_offs: int
-    come_back: bool
-    longest_come_back: int
+    retry_after: bool
+    longest_retry_after: int
     copies: bool
     cancel: bool
     probes: bool
@@ -218,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Nack:
-    come_back: int = 0
+    retry_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -261,7 +261,7 @@
     """What the runner needs of the outside."""
 
     def hand_off(self, task: Task, store: Store, timeout: int) -> None: ...
-    def nack(self, task: Task, come_back: int) -> None: ...
+    def nack(self, task: Task, retry_after: int) -> None: ...
     def break_off(self, task: Task) -> None: ...
     def set_timer(self, at: int) -> None: ...
     def request_store_list(self) -> None: ...
--- a/tansykeel/runner.py
+++ b/tansykeel/runner.py
@@ -121,7 +121,7 @@
                 self.call_at(want.until, partial(self._time_up, task, self._count))
             case Nack() | BreakOff():
                 if isinstance(want, Nack):
-                    self._effects.nack(task, want.come_back)
+                    self._effects.nack(task, want.retry_after)
                 else:
                     self._effects.break_off(task)
                 del self._runs[task]
