--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -29,7 +29,7 @@
 from .cold import SECOND, TOLD, Young
 from .nodes import PATIENCE, Line, Node, cost_of
 from .rates import AIM_PART, SAMPLES, STALE, Waits
-from .volumes import Extras, KeyLine, VolumeState
+from .volumes import KeyLine, RetryBudget, VolumeState
 
 MARGIN, MOST_MARGIN = 1.5, 0.75  # times the lag left to a held task's soft limit; at most this part of that
 RANKING = 500  # the ranking for new objects is renewed every 50 ms
@@ -48,7 +48,7 @@
         self.least, self.usual = max(config.sizes.largest, 1.0), max(config.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
         self.waits, self.keys, self.asks, self.rank_due = Waits(), dict[int, KeyLine](), 0, 0
-        self.extras = Extras(config.retry_budget, runtime.now) if config.retry_budget else None
+        self.retry_budget = RetryBudget(config.retry_budget, runtime.now) if config.retry_budget else None
         self.patience: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
         if config.listing.must_poll:
             runtime.request_store_list()
@@ -128,8 +128,8 @@
         now, state, aim = self.runtime.now, self.state_of(task.volume), self.aim_of(task)
         if late := aim <= now:  # worth little any more: it goes only where nothing waits
             aim = min(now + task.category.soft_limit, task.deadline)
-        if self.extras:
-            self.extras.taken.append(now)
+        if self.retry_budget:
+            self.retry_budget.tasks.append(now)
         node, line, first = None, None, not task.resent and task.shard is not None
         try:
             in_turn = not (task.category.ordered and task.key) or (yield from self.turn_on_key(task, aim))
@@ -230,8 +230,8 @@
     def spend(self, task: Task, line: Line, state: VolumeState) -> None:
         if not task.hand_offs:
             state.units -= task.units
-        elif self.extras:
-            self.extras.extras.append(self.runtime.now)
+        elif self.retry_budget:
+            self.retry_budget.retries.append(self.runtime.now)
         task.hand_offs += 1
         state.send(line, task.units)
         total = state.total / state.part(self.usual)
@@ -289,7 +289,9 @@
     def may_hand_off(self, task: Task) -> bool:
         """Whether a (further) hand-off is legal now, wherever it goes."""
         may = task.hand_offs < self.config.allowed.hand_offs and self.runtime.now < task.deadline
-        may = may and (not task.hand_offs or not self.extras or self.extras.room(self.runtime.now))
+        may = may and (
+            not task.hand_offs or not self.retry_budget or self.retry_budget.allows(self.runtime.now)
+        )
         return may and not (task.may_have_run and task.category.repeat is RepeatSafety.AT_MOST_ONCE)
 
     def in_group(self, task: Task, store: Store) -> bool:
--- a/tansykeel/brain/volumes.py
+++ b/tansykeel/brain/volumes.py
@@ -16,16 +16,18 @@
         self.tasks, self.rests_until = deque[Task](), rests_until
 
 
-class Extras:  # further hand-offs within each window's budget; an earlier life may have used up the first
+class RetryBudget:  # further hand-offs within each window's budget; an earlier life may have used up the first
     def __init__(self, rule: RetryBudgetRule, now: int) -> None:
-        self.rule, self.taken, self.extras, self.opens = rule, deque[int](), deque[int](), now + rule.span
-
-    def room(self, now: int) -> bool:
-        while self.taken and self.taken[0] <= now - self.rule.span + 1:  # rounding never in our favour
-            self.taken.popleft()
-        while self.extras and self.extras[0] < now - self.rule.span - 1:
-            self.extras.popleft()
-        return now > self.opens and len(self.extras) + 1 <= self.rule.free + self.rule.share * len(self.taken)
+        self.rule, self.tasks, self.retries, self.opens_at = rule, deque[int](), deque[int](), now + rule.span
+
+    def allows(self, now: int) -> bool:
+        while self.tasks and self.tasks[0] <= now - self.rule.span + 1:  # rounding never in our favour
+            self.tasks.popleft()
+        while self.retries and self.retries[0] < now - self.rule.span - 1:
+            self.retries.popleft()
+        return now > self.opens_at and len(self.retries) + 1 <= self.rule.free + self.rule.share * len(
+            self.tasks
+        )
 
 
 class VolumeState:
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from tansykeel.baselines import SendAtOnce
-from tansykeel.brain.volumes import Extras
+from tansykeel.brain.volumes import RetryBudget
 from tansykeel.emulator.engine import Engine
 from tansykeel.emulator.gateway import Gateway
 from tansykeel.emulator.stores import SimStore
@@ -138,7 +138,7 @@
     def __init__(self, eye: Eye, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         super().__init__(config, seed, runtime)
         self.eye = eye
-        self.extras = Extras(config.retry_budget, runtime.now) if config.retry_budget else None
+        self.retry_budget = RetryBudget(config.retry_budget, runtime.now) if config.retry_budget else None
 
     def turn(self, task: Task) -> None:
         """The gateway may be another than the one whose event led to this: it is told by an event of its own."""
@@ -162,8 +162,8 @@
     def serve(self, task: Task) -> TaskGenerator:
         now = self.runtime.now
         aim = min(now + task.category.soft_limit, task.deadline - 1)
-        if self.extras is not None:
-            self.extras.taken.append(now)
+        if self.retry_budget is not None:
+            self.retry_budget.tasks.append(now)
         allowed = self.config.allowed.hand_offs
         while self.runtime.now < aim and task.hand_offs < allowed:
             found = self.true_store(task)
@@ -181,8 +181,8 @@
                     yield Wait(min(self.runtime.now + LOOK, aim))
                 if not seat.granted or store.state is not StoreState.READY:
                     continue
-                if task.hand_offs and self.extras is not None:
-                    self.extras.extras.append(self.runtime.now)
+                if task.hand_offs and self.retry_budget is not None:
+                    self.retry_budget.retries.append(self.runtime.now)
                 task.hand_offs += 1
                 sent, outcome = self.runtime.now, (yield HandOff(store))
                 assert isinstance(outcome, Outcome)
@@ -194,6 +194,6 @@
                 task.may_have_run.append((store, sent))
                 if task.category.repeat is not RepeatSafety.IDEMPOTENT:
                     break
-            if self.extras is not None and not self.extras.room(self.runtime.now):
+            if self.retry_budget is not None and not self.retry_budget.allows(self.runtime.now):
                 break
         yield self.final(task)
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import PLAN, outcome, scheduler, store, task, turn
 
-from tansykeel.brain.volumes import Extras, VolumeState
+from tansykeel.brain.volumes import RetryBudget, VolumeState
 from tansykeel.interface import (
     AllowedActions,
     HandOff,
@@ -23,19 +23,19 @@
 
 
 def test_further_hand_offs_stay_within_the_budget_of_every_window():
-    extras = Extras(RetryBudgetRule(span=1_000, free=1.0, share=0.5), -10_000)
-    extras.taken.extend([0, 10])
-    assert extras.room(20)
-    extras.extras.extend([20, 30])
-    assert not extras.room(40)
-    assert extras.room(1_032)
+    budget = RetryBudget(RetryBudgetRule(span=1_000, free=1.0, share=0.5), -10_000)
+    budget.tasks.extend([0, 10])
+    assert budget.allows(20)
+    budget.retries.extend([20, 30])
+    assert not budget.allows(40)
+    assert budget.allows(1_032)
 
 
 def test_a_new_life_makes_no_further_hand_off_while_an_earlier_one_may_have_used_the_budget_up():
-    extras = Extras(RetryBudgetRule(span=1_000, free=2.0, share=0.5), 500)
-    extras.taken.extend([600] * 9)
-    assert not extras.room(600) and not extras.room(1_500)
-    assert extras.room(1_501)
+    budget = RetryBudget(RetryBudgetRule(span=1_000, free=2.0, share=0.5), 500)
+    budget.tasks.extend([600] * 9)
+    assert not budget.allows(600) and not budget.allows(1_500)
+    assert budget.allows(1_501)
 
 
 @pytest.mark.parametrize(
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -130,7 +130,7 @@
     runtime.now += 60_000
     again = task(runtime)
     again.hand_offs = sent
-    brain.extras.extras.extend([runtime.now] * extras)
+    brain.retry_budget.retries.extend([runtime.now] * extras)
     runtime.now += later
     assert brain.may_hand_off(again) is legal
 
@@ -141,7 +141,7 @@
     run, node = brain.serve(task(runtime)), next(iter(brain.nodes.values()))
     turn(run, runtime, brain)
     assert isinstance(run.send(outcome(OutcomeKind.ERROR)), Wait)
-    brain.extras.extras.append(runtime.now)
+    brain.retry_budget.retries.append(runtime.now)
     runtime.now += 200
     node.round()
     assert isinstance(run.send(WakeReason.GRANTED), Nack)
