--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -43,7 +43,7 @@
         ready = [store for store in stores if store.state is StoreState.READY]
         self.by_shard = {store.shard: store for store in sorted(ready, key=lambda s: s.started)}
 
-    def heard(self, peer: int, word: PeerMessage) -> None:
+    def on_peer_message(self, peer: int, word: PeerMessage) -> None:
         """Baselines keep to what is theirs: they neither ask nor give."""
 
     def list_failed(self) -> None:
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -129,7 +129,7 @@
             raise wire.Malformed(f"message of instance {event.sender}: {error}") from error
         volume = self.volumes.get(handle) if handle is not None else None
         if volume is not None or handle is None:  # else no task of it has come here: nothing to ask or give
-            self.brain.heard(event.sender, PeerMessage(volume, units, gift))
+            self.brain.on_peer_message(event.sender, PeerMessage(volume, units, gift))
         self.runner.run_pending()
 
     def dropped(self, event: wire.Dropped) -> None:
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -267,7 +267,7 @@
                 self.runtime.send_to_peer(peer, PeerMessage(volume, each, False))
         return max(state.asked + ASK - now, 0)
 
-    def heard(self, peer: int, word: PeerMessage) -> None:
+    def on_peer_message(self, peer: int, word: PeerMessage) -> None:
         """Another gateway gives units, asks for some (half at most; none where no task came) or greets."""
         if word.volume is None:
             if not (long := self.runtime.now >= self.born + NEW):
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -217,7 +217,7 @@
     def heard(self, now: int, sender: int, word: PeerMessage) -> None:
         """Another gateway's word."""
         self.runner.advance_clock(now)
-        self.brain.heard(sender, word)
+        self.brain.on_peer_message(sender, word)
         self.runner.run_pending()
 
     def tick(self, now: int) -> None:
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -102,7 +102,7 @@
         for peer, word in words:
             for number in range(len(made)) if peer is None else [peer]:
                 if number != me:
-                    made[number][0].heard(me, replace(word, volume=volumes[number]))
+                    made[number][0].on_peer_message(me, replace(word, volume=volumes[number]))
 
 
 def test_a_gateway_short_of_a_limit_gets_units_from_the_others_and_none_are_made():
@@ -126,14 +126,14 @@
 def test_no_part_of_a_limit_grows_past_its_depth_by_gifts():
     made, volumes, states = of_gateways(0, 1)
     states[0].units = states[0].depth - 1
-    made[0][0].heard(1, PeerMessage(volumes[0], 5.0, True))
+    made[0][0].on_peer_message(1, PeerMessage(volumes[0], 5.0, True))
     assert states[0].units == states[0].depth
 
 
 def test_an_ask_for_a_volume_that_no_task_here_named_gets_nothing():
     """Guards against a gateway that gives of a part that it does not have."""
     brain, runtime = scheduler([store()], allowed=TALK)
-    brain.heard(1, PeerMessage(Volume("v", LIMITED, 2.0), 5.0, False))
+    brain.on_peer_message(1, PeerMessage(Volume("v", LIMITED, 2.0), 5.0, False))
     assert runtime.told == []
 
 
@@ -165,7 +165,7 @@
     brain, runtime = scheduler([store()], allowed=TALK)
     volume = Volume("v", replace(LIMITED, limit=1e-6), 2.0)
     for word in words:
-        brain.heard(1, word)
+        brain.on_peer_message(1, word)
     runtime.now += after
     brain.limit_wait(task(runtime, volume=volume), brain.state_of(volume))
     assert volume.state.units == pytest.approx(units, abs=0.01)
@@ -175,8 +175,8 @@
 def test_the_answer_to_a_greeting_says_whether_a_gateway_has_run_for_long(age, answer):
     brain, runtime = scheduler([store()], allowed=TALK)
     runtime.now += age
-    brain.heard(3, GREETING)
-    brain.heard(3, YOUNG)  # an answer is not answered
+    brain.on_peer_message(3, GREETING)
+    brain.on_peer_message(3, YOUNG)  # an answer is not answered
     assert runtime.told == [(3, answer)]
 
 
