--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -68,9 +68,9 @@
                 return
             if not outcome.never_ran:
                 task.may_have_run.append((store, sent))
-        yield self.final(task)
+        yield self.final_answer(task)
 
-    def final(self, task: Task) -> TaskAction:
+    def final_answer(self, task: Task) -> TaskAction:
         repeat, scope = task.category.repeat, task.category.scope
         sure = (
             repeat is RepeatSafety.IDEMPOTENT or repeat is RepeatSafety.DEDUPLICATED and scope is DeduplicationScope.ALL
@@ -124,7 +124,7 @@
                 return
             if not outcome.never_ran:
                 task.may_have_run.append((store, sent))
-        yield self.final(task)
+        yield self.final_answer(task)
 
 
 class Buckets(SendAtOnce):
@@ -146,7 +146,7 @@
             ready = self.runtime.now + int(-level / rate) + 1
             if ready >= task.deadline:
                 self.level[task.volume] = level + task.units, self.runtime.now
-                yield self.final(task)
+                yield self.final_answer(task)
                 return
             yield Wait(ready)
         yield from super().serve(task)
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -184,7 +184,7 @@
                 node.round()
                 if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                     return
-            yield self.final(task)
+            yield self.final_answer(task)
         finally:
             if node and line:
                 node.drop(line, task)
@@ -302,7 +302,7 @@
         near = store.zone == first.zone if scope is DeduplicationScope.ZONE else store.shard == first.shard
         return (scope is DeduplicationScope.ALL or near) and self.runtime.now < sent + task.category.window
 
-    def final(self, task: Task) -> TaskAction:
+    def final_answer(self, task: Task) -> TaskAction:
         """The answer of a task given up on: a nack wherever its promise holds."""
         allowed, of = self.config.allowed, task.category
         sure = of.repeat is RepeatSafety.IDEMPOTENT or (
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -2,8 +2,8 @@
 
 Told of whatever comes in by a program (or by an emulator), it tells the module, and acts through a `Wire`. What a
 protocol says of a task is read by its `Intake`; the core knows no protocol. It decides nothing about routing, waiting
-or refusing: tasks that can't be held (no memory, stopping, bad names) are answered as `Scheduler.final` says. Times
-are whole tenths of a millisecond of one monotonic clock.
+or refusing: tasks that can't be held (no memory, stopping, bad names) are answered as `Scheduler.final_answer` says.
+Times are whole tenths of a millisecond of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -327,7 +327,7 @@
         """Answer a task outside of its generator. What is out for it is cancelled; nothing more is sent."""
         # Guards against a nack for a one-shot task whose hand-off is out: no outcome says yet that it never ran.
         held.task.may_have_run += [(attempt.store, attempt.sent) for attempt in held.out]
-        want = self.brain.final(held.task)
+        want = self.brain.final_answer(held.task)
         self._final(held, want, reason)
         if held.started and not self.runner.client_left(held.task):
             for attempt in held.out:
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -196,4 +196,4 @@
                     break
             if self.retry_budget is not None and not self.retry_budget.allows(self.runtime.now):
                 break
-        yield self.final(task)
+        yield self.final_answer(task)
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -88,7 +88,7 @@
     given_up = task(runtime, category=category)
     if ran:
         given_up.may_have_run.append((store(), runtime.now))
-    assert isinstance(brain.final(given_up), answer)
+    assert isinstance(brain.final_answer(given_up), answer)
 
 
 @pytest.mark.parametrize("state", [StoreState.DRAINING, StoreState.GONE])
