--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -135,7 +135,7 @@
             in_turn = not (task.category.ordered and task.key) or (yield from self.turn_on_key(task, aim))
             while in_turn and self.may_hand_off(task):
                 node = self.node_for(task)
-                if node is None or not self.in_group(task, node.store) or late and not node.free():
+                if node is None or not self.may_go_to(task, node.store) or late and not node.free():
                     break
                 line = self.line_of(node, task.volume)
                 if first:
@@ -157,7 +157,7 @@
                     if signal is WakeReason.RECHECK:
                         continue
                     break
-                legal = self.may_hand_off(task) and self.in_group(task, node.store)
+                legal = self.may_hand_off(task) and self.may_go_to(task, node.store)
                 if not legal or self.limit_wait(task, state):
                     # The limit is charged at the turn: charged before, a held line could leave in one burst.
                     node.recall(task)
@@ -294,7 +294,7 @@
         )
         return may and not (task.may_have_run and task.category.repeat is RepeatSafety.AT_MOST_ONCE)
 
-    def in_group(self, task: Task, store: Store) -> bool:
+    def may_go_to(self, task: Task, store: Store) -> bool:
         """Whether a stamped task that may have run may go to this store: same group, within its memory."""
         if not task.may_have_run or task.category.repeat is RepeatSafety.IDEMPOTENT:
             return True
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -70,7 +70,7 @@
     repeat = task(runtime, category=replace(DEDUPLICATED, scope=scope))
     repeat.may_have_run.append((first, runtime.now))
     runtime.now += later
-    assert brain.in_group(repeat, store(**other)) is legal
+    assert brain.may_go_to(repeat, store(**other)) is legal
 
 
 @pytest.mark.parametrize(
--- a/tests/broken_edge.py
+++ b/tests/broken_edge.py
@@ -34,7 +34,7 @@
         return task.hand_offs < self.config.allowed.hand_offs and self.runtime.now < task.deadline
 
     Scheduler.may_hand_off = again
-    Scheduler.in_group = lambda self, task, store: True
+    Scheduler.may_go_to = lambda self, task, store: True
     return facts
 
 
