--- a/tansykeel/brain/cold.py
+++ b/tansykeel/brain/cold.py
@@ -5,7 +5,11 @@
 from tansykeel.interface import SlowStartRule, Store
 
 SECOND, ROUND, LONG = 10_000, 100, 1_000  # a round every 10 ms (design), put off at cold nodes for so long
-EVEN, BY_ASKED, TOLD = 0.2, 0.8, 6 * SECOND  # parts dealt evenly, by what is asked; when a start is told by
+EVEN, DEMAND_SHARE, TOLD = (
+    0.2,
+    0.8,
+    6 * SECOND,
+)  # parts dealt evenly, by what is asked; when a start is told by
 SPANS_KEPT = 4  # of the rule's span, that tell what is asked of a store
 LEAST_IN_SPAN = 3  # largest tasks; below it one gateway's requests tell nothing of what the fleet asks for
 
@@ -54,7 +58,7 @@
         while self._earned and self._earned[0][0] <= now - self.span:
             self._sum -= self._earned.pop(0)[1]
         rate = min(self.plans_rate, self.asked.rate())
-        return max(BY_ASKED * part * rate * self.span, self.least) - self._sum
+        return max(DEMAND_SHARE * part * rate * self.span, self.least) - self._sum
 
     def spend(self, now: int, units: float) -> None:
         """Count units that were earned now."""
--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -8,7 +8,7 @@
 
 from tansykeel.interface import Outcome, OutcomeKind, Runtime, Store, StoreState, Task, Volume, WakeReason
 
-from .cold import BY_ASKED, ROUND, SECOND, Young
+from .cold import DEMAND_SHARE, ROUND, SECOND, Young
 from .rates import AIM_PART, FRESH, Measured, Waits
 
 RESET, FLOOR = SECOND, 0.1  # when the bucket is emptied; part of the rate that slices always share (design)
@@ -101,7 +101,7 @@
             # With no queue there all send it less than its power, which is that much under what it bears. One
             # that answers at once whatever it gets shows no queue either: `earn` bounds this by its budget.
             clear = bool(self.lags) and self.lags[-1][0] >= self.runtime.now - FRESH and self.gap() > 0
-            earned = BY_ASKED * part * counts * (self.young.rule.multiple if clear else 1)
+            earned = DEMAND_SHARE * part * counts * (self.young.rule.multiple if clear else 1)
             self.young.earn(earned, self.runtime.now, part)
 
     def hold(self, line: Line, task: Task) -> None:
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import PLAN, heard, outcome, scheduler, store, task
 
-from tansykeel.brain.cold import BY_ASKED, Young
+from tansykeel.brain.cold import DEMAND_SHARE, Young
 from tansykeel.interface import (
     OutcomeKind,
     SlowStartRule,
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize(
     "clear, age, part",
     [
-        (False, 100, BY_ASKED * 2.5 * 0.2),
-        (True, 100, BY_ASKED * 2.5 * 0.2 * 2.5),
-        (False, 100_000, BY_ASKED * 2.5 * 0.2 * 3),
+        (False, 100, DEMAND_SHARE * 2.5 * 0.2),
+        (True, 100, DEMAND_SHARE * 2.5 * 0.2 * 2.5),
+        (False, 100_000, DEMAND_SHARE * 2.5 * 0.2 * 3),
     ],
 )
 def test_what_is_asked_of_a_young_store_earns_the_part_that_it_bears(clear, age, part):
@@ -105,7 +105,7 @@
         earned += asked_of(brain, runtime, node, volume)
         runtime.now += 100
     # One largest task at once and a second of what it is sized for, of which this gateway has half.
-    assert earned == pytest.approx(BY_ASKED * 2.5 * 0.2 * (8.0 + 2.0), rel=0.05)
+    assert earned == pytest.approx(DEMAND_SHARE * 2.5 * 0.2 * (8.0 + 2.0), rel=0.05)
 
 
 def test_a_volume_on_two_shards_counts_with_half_of_its_rate_at_each():
