--- a/tansykeel/brain/cold.py
+++ b/tansykeel/brain/cold.py
@@ -5,7 +5,7 @@
 from tansykeel.interface import SlowStartRule, Store
 
 SECOND, ROUND, LONG = 10_000, 100, 1_000  # a round every 10 ms (design), put off at cold nodes for so long
-EVEN, DEMAND_SHARE, TOLD = (
+EVEN_SHARE, DEMAND_SHARE, TOLD = (
     0.2,
     0.8,
     6 * SECOND,
@@ -71,7 +71,10 @@
 
     def __init__(self, rule: SlowStartRule, gateways: int, me: int, largest: float) -> None:
         self.rule, self.largest = rule, largest
-        self.even, self.phase = EVEN * rule.always_safe / max(gateways, 1), (me + 0.5) / max(gateways, 1)
+        self.even, self.phase = (
+            EVEN_SHARE * rule.always_safe / max(gateways, 1),
+            (me + 0.5) / max(gateways, 1),
+        )
         self.due = self.suspected = 0  # when the last task will find room; when it may have started
         self.since, self.at, self.credit = -rule.warm_after - rule.span, 0, 0.0
         self.budget = SpanBudget(rule.span, largest)
