--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -47,8 +47,8 @@
         self.notes: list[str] = []
         self.told: list[tuple[int | None, PeerMessage]] = []
 
-    def wake(self, task: Task, signal: WakeReason) -> None:
-        self.woken.append((task, signal))
+    def wake(self, task: Task, reason: WakeReason) -> None:
+        self.woken.append((task, reason))
 
     def call_at(self, at: int, call: Callable[[], None]) -> None:
         self.alarms.append((at, call))
@@ -56,8 +56,8 @@
     def request_store_list(self) -> None:
         self.watches += 1
 
-    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
-        self.told.append((peer, word))
+    def send_to_peer(self, peer: int | None, message: PeerMessage) -> None:
+        self.told.append((peer, message))
 
     def log(self, text: str) -> None:
         self.notes.append(text)
