--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -9,7 +9,7 @@
 from tansykeel.interface import Outcome, OutcomeKind, Runtime, Store, StoreState, Task, Volume, WakeReason
 
 from .cold import DEMAND_SHARE, ROUND, SECOND, Young
-from .rates import AIM_PART, FRESH, Measured, Waits
+from .rates import SAMPLE_LIFETIME, TARGET_SHARE, QueueDelays, StoreMeasurements
 
 RESET, FLOOR = SECOND, 0.1  # when the bucket is emptied; part of the rate that slices always share (design)
 DEFICIT, DONATED = 50.0, 0.9  # what a reserve may sink below nothing; part of its surplus given away (paper)
@@ -49,7 +49,7 @@
     return task.units * (WRITE_COST if task.category.writes else READ_COST)
 
 
-class Node(Measured):
+class Node(StoreMeasurements):
     """One store and the lines of its volumes here."""
 
     def __init__(
@@ -57,14 +57,14 @@
         store: Store,
         runtime: Runtime,
         rate: float,
-        least: float,
+        largest_task: float,
         usual: float,
-        tightest: int,
+        soft_limit: int,
         young: Young | None,
-        waits: Waits,
+        delays: QueueDelays,
         gateways: int,
     ) -> None:
-        super().__init__(store, runtime, rate, least, usual, tightest, waits, gateways)
+        super().__init__(store, runtime, rate, largest_task, usual, soft_limit, delays, gateways)
         self.young, self.round_set, self.starved = young, False, False  # starved: tokens or bound held back
         self.lines, self.holding = dict[Volume, Line](), list[Line]()  # holding: with held tasks, in order
         # Of the others: those whose balance is full (`has` for a token earned), when more will be, those that
@@ -78,21 +78,21 @@
         self.accrued = self.reset_at = runtime.now
 
     def usable(self) -> bool:
-        return self.store.state is StoreState.READY and self.runtime.now >= self.resting
+        return self.store.state is StoreState.READY and self.runtime.now >= self.resting_until
 
     def fits(self, task: Task, cost: float) -> bool:
         if not self.usable() or self.out >= MOST_OUT:
             return False
-        if self.out and self.tokens_out + cost > self.bound():
+        if self.out and self.tokens_out + cost > self.token_bound():
             self.starved = True
             return False
-        return not self.young or self.young.room(self.store, self.runtime.now, task.units, self.proof)
+        return not self.young or self.young.room(self.store, self.runtime.now, task.units, self.answered_sent)
 
     def asked(self, line: Line, units: float, rate: float) -> None:
         """A first try has come. For a young store it counts within what its volume was sized for, `rate`."""
         if self.young:
             self.young.budget.asked.add(self.runtime.now, units)
-        if self.young and (part := self.young.bears(self.store, self.runtime.now, self.proof)):
+        if self.young and (part := self.young.bears(self.store, self.runtime.now, self.answered_sent)):
             most = max(rate * self.young.rule.span, self.young.largest)
             sized = min(line.sized + rate * (self.runtime.now - line.asked_at), most)
             line.asked_at, line.sized, counts = self.runtime.now, max(sized - units, 0.0), min(units, sized)
@@ -100,7 +100,11 @@
             line.plans_rate = rate
             # With no queue there all send it less than its power, which is that much under what it bears. One
             # that answers at once whatever it gets shows no queue either: `earn` bounds this by its budget.
-            clear = bool(self.lags) and self.lags[-1][0] >= self.runtime.now - FRESH and self.gap() > 0
+            clear = (
+                bool(self.samples)
+                and self.samples[-1][0] >= self.runtime.now - SAMPLE_LIFETIME
+                and self.headroom() > 0
+            )
             earned = DEMAND_SHARE * part * counts * (self.young.rule.multiple if clear else 1)
             self.young.earn(earned, self.runtime.now, part)
 
@@ -191,7 +195,11 @@
                 if (short := cost - line.tokens) > self.bucket:
                     self.starved = True
                     # An idle node lends if the work is in time, to a line in debt only on a fresh sample.
-                    if self.out or self.gap() < 1 - 1 / AIM_PART or (line.tokens < 0 and not self.free()):
+                    if (
+                        self.out
+                        or self.headroom() < 1 - 1 / TARGET_SHARE
+                        or (line.tokens < 0 and not self.shows_headroom())
+                    ):
                         break
                 if not self.fits(line.held[0], cost):
                     self.first = line.number
@@ -203,11 +211,11 @@
 
     def accrue(self) -> None:
         span, self.accrued, now = self.runtime.now - self.accrued, self.runtime.now, self.runtime.now
-        if self.starved and (gap := self.gap()) > 0:
+        if self.starved and (gap := self.headroom()) > 0:
             # By time and not by outcomes: where few tasks come by, a rate once low would stay low.
             rate = self.rate * (1 + gap * min(span, ROUND) / RISE)
             # What MOST_OUT hand-offs can be at the lag seen: a store far quicker than the target does more.
-            lag = self.lag(self.usual) if self.lags else self.tightest * AIM_PART
+            lag = self.expected_latency(self.usual) if self.samples else self.soft_limit * TARGET_SHARE
             self.rate = min(rate, MOST_OUT * self.usual / max(lag, 1))
         self.starved = False
         if now >= self.reset_at:
@@ -240,8 +248,8 @@
 
     def grant(self, line: Line, cost: float) -> None:
         task = line.held.popleft()
-        self.held, self.held_tokens, self.changes = self.held - 1, self.held_tokens - cost, self.changes + 1
-        self.out, self.tokens_out, self.sent[task] = self.out + 1, self.tokens_out + cost, self.runtime.now
+        self.held, self.held_tokens, self.version = self.held - 1, self.held_tokens - cost, self.version + 1
+        self.out, self.tokens_out, self.sent_at[task] = self.out + 1, self.tokens_out + cost, self.runtime.now
         self.grants.append((self.runtime.now, cost))
         if self.young:
             self.young.credit -= task.units
@@ -254,50 +262,57 @@
         self.round()
 
     def recall(self, task: Task) -> None:
-        del self.sent[task]
-        self.changes += 1
+        del self.sent_at[task]
+        self.version += 1
         self.release(cost_of(task))
 
     def learn(self, task: Task, outcome: Outcome) -> None:
-        now, cost, sent = self.runtime.now, cost_of(task), self.sent.pop(task)
-        long = outcome.kind is OutcomeKind.TIMED_OUT and outcome.latency >= PATIENCE * self.lag(task.units)
-        lost = long and sent < self.proof  # guards against short patience and slow nodes, which look like it
-        self.changes, self.waits.lost = self.changes + 1, now + LOSING if lost else self.waits.lost
+        now, cost, sent = self.runtime.now, cost_of(task), self.sent_at.pop(task)
+        long = outcome.kind is OutcomeKind.TIMED_OUT and outcome.latency >= PATIENCE * self.expected_latency(
+            task.units
+        )
+        lost = (
+            long and sent < self.answered_sent
+        )  # guards against short patience and slow nodes, which look like it
+        self.version, self.delays.losses_until = (
+            self.version + 1,
+            now + LOSING if lost else self.delays.losses_until,
+        )
         if outcome.kind is OutcomeKind.TIMED_OUT and not lost:
             # Guards against work that goes on at the store after its client left: it stays on the books.
-            self.runtime.call_at(now + self.tightest, lambda: self.release(cost))
+            self.runtime.call_at(now + self.soft_limit, lambda: self.release(cost))
         else:
-            self.heard, self.out, self.tokens_out = now, self.out - 1, self.tokens_out - cost
+            self.last_heard, self.out, self.tokens_out = now, self.out - 1, self.tokens_out - cost
         if outcome.kind not in (OutcomeKind.NOT_EXECUTED, OutcomeKind.CANCELLED):
-            self.ends.append(outcome.kind is OutcomeKind.DELIVERED)
+            self.successes.append(outcome.kind is OutcomeKind.DELIVERED)
         if (
             outcome.kind is OutcomeKind.DELIVERED
             or outcome.kind is OutcomeKind.TIMED_OUT
-            and now >= self.waits.lost
+            and now >= self.delays.losses_until
         ):
-            self.proof, self.troubles = (
-                max(self.proof, sent if outcome.kind is OutcomeKind.DELIVERED else 0),
+            self.answered_sent, self.failures_in_row = (
+                max(self.answered_sent, sent if outcome.kind is OutcomeKind.DELIVERED else 0),
                 0,
             )
             # A cold store takes several times as long: who answers as quickly as before was only cut off.
             if (
                 self.young
                 and sent > self.young.suspected
-                and outcome.latency < QUICK * self.unit * task.units
+                and outcome.latency < QUICK * self.unit_time * task.units
             ):
                 self.young.suspected = 0
-            self.sample(outcome.latency, task.units)
-            self.waits.put(self.store, now, self.queueing())
-            if (gap := self.gap()) < 0:
-                self.fall(min(FALL * -gap, DEEPEST), min(outcome.latency, self.tightest) // 2)
+            self.add_sample(outcome.latency, task.units)
+            self.delays.record(self.store, now, self.queueing_delay())
+            if (gap := self.headroom()) < 0:
+                self.decrease_rate(min(FALL * -gap, DEEPEST), min(outcome.latency, self.soft_limit) // 2)
         elif outcome.kind is OutcomeKind.QUEUE_FULL:
-            self.troubles += 1
-            self.fall(FALL, ROUND)
-            self.resting = now + ROUND * 5 * min(self.troubles, 10)
+            self.failures_in_row += 1
+            self.decrease_rate(FALL, ROUND)
+            self.resting_until = now + ROUND * 5 * min(self.failures_in_row, 10)
         elif outcome.kind is OutcomeKind.NO_CONNECTION:
             # Guards against a restart that the list has not told: tried ever more seldom, it counts as cold.
-            self.troubles += 1
-            if self.young and self.troubles > 1:
+            self.failures_in_row += 1
+            if self.young and self.failures_in_row > 1:
                 self.young.suspected, self.young.at, self.young.credit = now, now, min(self.young.credit, 0.0)
-            self.resting = now + PAUSE * min(self.troubles, 5)
-            self.runtime.call_at(self.resting, self.round)
+            self.resting_until = now + PAUSE * min(self.failures_in_row, 5)
+            self.runtime.call_at(self.resting_until, self.round)
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -28,7 +28,7 @@
 
 from .cold import SECOND, TOLD, Young
 from .nodes import PATIENCE, Line, Node, cost_of
-from .rates import AIM_PART, SAMPLES, STALE, Waits
+from .rates import OVERLOAD_LIFETIME, SAMPLE_COUNT, TARGET_SHARE, QueueDelays
 from .volumes import KeyLine, RetryBudget, VolumeState
 
 MARGIN, MOST_MARGIN = 1.5, 0.75  # times the lag left to a held task's soft limit; at most this part of that
@@ -44,10 +44,10 @@
         self.new: bool | None = None  # whether all gateways are, where another has said so
         if config.allowed.peers:
             runtime.call_at(runtime.now, lambda: runtime.send_to_peer(None, PeerMessage(None, 0.0, False)))
-        self.tightest = min(category.soft_limit for category in config.categories)
-        self.least, self.usual = max(config.sizes.largest, 1.0), max(config.sizes.usual, 1.0)
+        self.soft_limit = min(category.soft_limit for category in config.categories)
+        self.largest_task, self.usual = max(config.sizes.largest, 1.0), max(config.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
-        self.waits, self.keys, self.asks, self.rank_due = Waits(), dict[int, KeyLine](), 0, 0
+        self.delays, self.keys, self.asks, self.rank_due = QueueDelays(), dict[int, KeyLine](), 0, 0
         self.retry_budget = RetryBudget(config.retry_budget, runtime.now) if config.retry_budget else None
         self.patience: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
         if config.listing.must_poll:
@@ -58,22 +58,22 @@
         cold, gateways = self.config.slow_start, self.config.gateways
         for store in stores:
             if store not in self.nodes and store.state is not StoreState.GONE:
-                young = Young(cold, gateways, self.config.gateway_index, self.least) if cold else None
+                young = Young(cold, gateways, self.config.gateway_index, self.largest_task) if cold else None
                 self.nodes[store] = Node(
                     store,
                     self.runtime,
                     self.average_rate(),
-                    self.least,
+                    self.largest_task,
                     self.usual,
-                    self.tightest,
+                    self.soft_limit,
                     young,
-                    self.waits,
+                    self.delays,
                     gateways,
                 )
         for node in [n for n in self.nodes.values() if n.store.state is StoreState.GONE]:
-            if not node.out and not node.held and self.runtime.now - node.heard >= LEFT:
+            if not node.out and not node.held and self.runtime.now - node.last_heard >= LEFT:
                 del self.nodes[node.store]
-                self.waits.seen.pop(node.store, None)
+                self.delays.by_store.pop(node.store, None)
         self.by_shard = {}
         for node in self.nodes.values():
             best = self.by_shard.get(node.store.shard)
@@ -99,16 +99,22 @@
 
     def average_rate(self) -> float:
         """What a new node counts as; before any was heard, the rate that fills the least bound."""
-        heard = [n.rate for n in self.nodes.values() if n.lags and self.runtime.now - n.lags[-1][0] < STALE]
-        return sum(heard) / len(heard) if heard else self.least / (self.tightest * AIM_PART)
+        heard = [
+            n.rate
+            for n in self.nodes.values()
+            if n.samples and self.runtime.now - n.samples[-1][0] < OVERLOAD_LIFETIME
+        ]
+        return sum(heard) / len(heard) if heard else self.largest_task / (self.soft_limit * TARGET_SHARE)
 
     def rank(self) -> None:
         """Order the nodes for new objects by the time a task would spend there, failures counted in."""
         self.rank_due = self.runtime.now + RANKING
 
         def dwell(node: Node) -> float:
-            failing = node.ends.count(False) / max(len(node.ends), 1)
-            return node.lag(self.usual) + node.held_tokens / node.rate + failing * self.tightest
+            failing = node.successes.count(False) / max(len(node.successes), 1)
+            return (
+                node.expected_latency(self.usual) + node.held_tokens / node.rate + failing * self.soft_limit
+            )
 
         ready = [node for node in self.by_shard.values() if node.usable()]
         self.ranked = sorted(ready, key=lambda node: (dwell(node), self.chance.uniform(0, 1)))
@@ -119,7 +125,7 @@
         if self.runtime.now >= self.rank_due:
             self.rank()
         for node in self.ranked:
-            if node.usable() and node.held_tokens + node.tokens_out + cost_of(task) <= node.bound() / 2:
+            if node.usable() and node.held_tokens + node.tokens_out + cost_of(task) <= node.token_bound() / 2:
                 return node
         return min(self.ranked, key=lambda n: (n.held_tokens + n.tokens_out) / n.rate, default=None)
 
@@ -135,14 +141,14 @@
             in_turn = not (task.category.ordered and task.key) or (yield from self.turn_on_key(task, aim))
             while in_turn and self.may_hand_off(task):
                 node = self.node_for(task)
-                if node is None or not self.may_go_to(task, node.store) or late and not node.free():
+                if node is None or not self.may_go_to(task, node.store) or late and not node.shows_headroom():
                     break
                 line = self.line_of(node, task.volume)
                 if first:
                     first, state.shards[node.store.shard] = False, None
                     rate = task.volume.plan.rate / SECOND * state.part(self.usual) / len(state.shards)
                     node.asked(line, task.units, rate)
-                latest = aim - int(min(node.lag(task.units) * MARGIN, (aim - now) * MOST_MARGIN))
+                latest = aim - int(min(node.expected_latency(task.units) * MARGIN, (aim - now) * MOST_MARGIN))
                 wait = self.limit_wait(task, state)
                 if self.runtime.now + wait >= latest:
                     break
@@ -198,14 +204,18 @@
             self.config.allowed,
             task.category.repeat is RepeatSafety.IDEMPOTENT,
         )
-        if task.hand_offs != 1 or not (sure and (may.cancel or may.copies)) or now >= self.waits.lost:
+        if (
+            task.hand_offs != 1
+            or not (sure and (may.cancel or may.copies))
+            or now >= self.delays.losses_until
+        ):
             return 0
-        patience = max(PATIENCE * (lag := int(node.lag(task.units))), self.tightest // 2)
+        patience = max(PATIENCE * (lag := int(node.expected_latency(task.units))), self.soft_limit // 2)
         return patience if now + patience + lag * MARGIN < aim else 0
 
     def aim_of(self, task: Task) -> int:
         """When the soft limit ends, from the first try: less time left than usual tells of an earlier one."""
-        times = self.patience.setdefault(task.category, deque(maxlen=SAMPLES))
+        times = self.patience.setdefault(task.category, deque(maxlen=SAMPLE_COUNT))
         times.append(task.deadline - self.runtime.now)
         age = max(times) - times[-1] if times[-1] >= task.category.soft_limit else 0
         return min(self.runtime.now + task.category.soft_limit - age, task.deadline)
@@ -308,7 +318,7 @@
         sure = of.repeat is RepeatSafety.IDEMPOTENT or (
             of.repeat is RepeatSafety.DEDUPLICATED and of.scope is DeduplicationScope.ALL
         )
-        retry_after = min(self.tightest, allowed.longest_retry_after) if allowed.retry_after else 0
+        retry_after = min(self.soft_limit, allowed.longest_retry_after) if allowed.retry_after else 0
         return BreakOff() if task.may_have_run and not sure else Nack(retry_after)
 
     def turn_on_key(self, task: Task, aim: int) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
--- a/tansykeel/brain/volumes.py
+++ b/tansykeel/brain/volumes.py
@@ -6,7 +6,7 @@
 
 from .cold import SECOND
 from .nodes import Line
-from .rates import STALE
+from .rates import OVERLOAD_LIFETIME
 
 LAST = 32  # of a volume's last hand-offs and answers, where it is used is worked out
 
@@ -49,7 +49,13 @@
 
     def tell(self, units: float, outcome: Outcome, plan: Plan, now: int) -> None:
         """Take in the volume's use: through others since the last answer, or by the meter, through all."""
-        used = (outcome.plan_use_percent or 0) / 100 * plan.rate * min(now - self.told_at, STALE) / SECOND
+        used = (
+            (outcome.plan_use_percent or 0)
+            / 100
+            * plan.rate
+            * min(now - self.told_at, OVERLOAD_LIFETIME)
+            / SECOND
+        )
         self.told_at, by_all = now, used if outcome.used_elsewhere is None else units + outcome.used_elsewhere
         self.told.append((units, by_all))
         was = self.told.popleft() if len(self.told) > LAST else (0.0, 0.0)
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -160,7 +160,7 @@
     assert node.young.credit > 0
     for _ in range(2):
         sent = task(runtime)
-        node.sent[sent] = runtime.now
+        node.sent_at[sent] = runtime.now
         node.learn(sent, outcome(OutcomeKind.NO_CONNECTION))
     assert node.young.credit == 0 and node.young.at == runtime.now
 
@@ -179,7 +179,7 @@
     node = brain.nodes[at]
     for how in hows:
         sent = task(runtime)
-        node.sent[sent] = runtime.now
+        node.sent_at[sent] = runtime.now
         node.learn(sent, outcome(how))
     assert node.young.room(at, runtime.now, 4.1, 0) is room
     assert node.usable() is (hows[0] is OutcomeKind.RESET)
@@ -194,13 +194,13 @@
     heard(node, 100, 100, 100)
     for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
         sent = task(runtime)
-        node.sent[sent] = runtime.now
+        node.sent_at[sent] = runtime.now
         node.learn(sent, outcome(how))
     runtime.now += 10_000
     sent = task(runtime)
-    node.sent[sent] = runtime.now
+    node.sent_at[sent] = runtime.now
     node.learn(sent, outcome(OutcomeKind.DELIVERED, lag=int(100 * times)))
-    assert node.young.room(at, runtime.now, 1e6, node.proof) is warm
+    assert node.young.room(at, runtime.now, 1e6, node.answered_sent) is warm
 
 
 def test_a_store_that_answers_and_of_which_no_start_was_told_had_not_started():
@@ -210,17 +210,17 @@
     node, failed = brain.nodes[at], runtime.now
     for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
         sent = task(runtime)
-        node.sent[sent] = runtime.now
+        node.sent_at[sent] = runtime.now
         node.learn(sent, outcome(how))
-    assert not node.young.room(at, failed + 60_000, 1e6, node.proof)  # it has not answered
+    assert not node.young.room(at, failed + 60_000, 1e6, node.answered_sent)  # it has not answered
     runtime.now += 10_000
     sent = task(runtime)
-    node.sent[sent] = runtime.now
+    node.sent_at[sent] = runtime.now
     node.learn(sent, outcome(OutcomeKind.DELIVERED))
-    assert not node.young.room(at, failed + 59_999, 1e6, node.proof)  # a start may still be told
-    assert node.young.room(at, failed + 60_000, 1e6, node.proof)
+    assert not node.young.room(at, failed + 59_999, 1e6, node.answered_sent)  # a start may still be told
+    assert node.young.room(at, failed + 60_000, 1e6, node.answered_sent)
     at.started = failed - 100  # it was told
-    assert not node.young.room(at, failed + 60_000, 1e6, node.proof)
+    assert not node.young.room(at, failed + 60_000, 1e6, node.answered_sent)
 
 
 @pytest.mark.parametrize("gateways", [20, 30])
--- a/tests/brain/test_cold_fleet.py
+++ b/tests/brain/test_cold_fleet.py
@@ -47,7 +47,7 @@
 
     def send(self, now):
         """Send what there is room for; return how many requests that were."""
-        self.node.sample(ANSWER_TIME, UNITS)
+        self.node.add_sample(ANSWER_TIME, UNITS)
         while self.held and self.held[0] < now - KEPT_FOR:
             self.held.popleft()
         sent = 0
--- a/tests/brain/test_rates.py
+++ b/tests/brain/test_rates.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tansykeel.brain.rates import left
+from tansykeel.brain.rates import remaining_delays
 from tansykeel.interface import (
     AllowedActions,
     OutcomeKind,
@@ -26,7 +26,7 @@
     for _ in range(4):
         node = brain.nodes[stores[-1]]
         sent = task(runtime)
-        node.sent[sent] = runtime.now
+        node.sent_at[sent] = runtime.now
         node.learn(sent, outcome(OutcomeKind.DELIVERED))
         node.out = 0
         stores[-1].state = StoreState.GONE
@@ -34,7 +34,7 @@
         brain.list_changed(stores, True)
         runtime.now += 200_000
     assert list(brain.nodes) == stores[-3:]
-    assert stores[0] not in brain.waits.seen
+    assert stores[0] not in brain.delays.by_store
 
 
 def test_an_answer_that_others_overtook_is_lost_and_says_nothing_of_the_load():
@@ -48,14 +48,14 @@
         node.hold(brain.line_of(node, out.volume), out)
         runtime.now += 100
         node.round()
-    assert state.units == 0.0 and list(node.sent) == [first, second]
+    assert state.units == 0.0 and list(node.sent_at) == [first, second]
     node.learn(second, outcome(OutcomeKind.DELIVERED, 100))
-    rate, lags = node.rate, list(node.lags)
+    rate, lags = node.rate, list(node.samples)
     runtime.now += 5_000
-    assert node.queueing() == 0.0  # the node is not silent: it answered what was sent later
+    assert node.queueing_delay() == 0.0  # the node is not silent: it answered what was sent later
     node.learn(first, outcome(OutcomeKind.TIMED_OUT, 5_100))
-    assert (node.rate, list(node.lags), node.out) == (rate, lags, 0)
-    assert runtime.now < brain.waits.lost <= runtime.now + 10 * 10_000
+    assert (node.rate, list(node.samples), node.out) == (rate, lags, 0)
+    assert runtime.now < brain.delays.losses_until <= runtime.now + 10 * 10_000
 
 
 @pytest.mark.parametrize("lost, samples", [(False, 1), (True, 0)])
@@ -66,9 +66,9 @@
     node.hold(brain.line_of(node, sent.volume), sent)
     runtime.now += 100
     node.round()
-    brain.waits.lost = runtime.now + lost
+    brain.delays.losses_until = runtime.now + lost
     node.learn(sent, outcome(OutcomeKind.TIMED_OUT, 5_000))
-    assert len(node.lags) == samples
+    assert len(node.samples) == samples
 
 
 @pytest.mark.parametrize("copies, cancel, soon", [(False, False, False), (True, False, True), (False, True, True)])
@@ -77,7 +77,7 @@
     at = store()
     brain, runtime = scheduler([at], allowed=AllowedActions(3, False, 0, copies, cancel, False))
     heard(brain.nodes[at], 100, 100, 100)
-    brain.waits.lost, sent = runtime.now + 1, task(runtime)
+    brain.delays.losses_until, sent = runtime.now + 1, task(runtime)
     sent.hand_offs = 1
     assert (brain.timeout(sent, brain.nodes[at], runtime.now + 2_500) > 0) is soon
 
@@ -97,7 +97,7 @@
     at = store()
     brain, runtime = scheduler([at])
     heard(brain.nodes[at], 100, 100, 100)
-    brain.waits.lost = runtime.now + lost
+    brain.delays.losses_until = runtime.now + lost
     sent = task(runtime, category=category)
     sent.hand_offs = hand_offs
     assert (0 < brain.timeout(sent, brain.nodes[at], runtime.now + 2_500) < 2_000) is soon
@@ -115,15 +115,15 @@
     ],
 )
 def test_a_short_queue_drains_and_one_past_the_soft_limit_stays(wait, age, remains):
-    assert left([(0, wait)], age, 2_500) == remains
+    assert remaining_delays([(0, wait)], age, 2_500) == remains
 
 
 def test_an_unheard_node_counts_as_the_middle_of_those_heard():
     brain, runtime = scheduler([store(shard) for shard in range(4)])
     unheard = brain.by_shard[3]
     for shard, wait in enumerate([0, 4_000, 90_000]):
-        brain.waits.put(brain.by_shard[shard].store, runtime.now, wait)
-        assert unheard.queueing() == [0, 0, 4_000][shard]
+        brain.delays.record(brain.by_shard[shard].store, runtime.now, wait)
+        assert unheard.queueing_delay() == [0, 0, 4_000][shard]
 
 
 @pytest.mark.parametrize("used, rate", [(0.0, "floor"), (10.0, 1e-3 * 4 * 0.5), (1e6, 0.5)])
@@ -132,8 +132,8 @@
     node = next(iter(brain.nodes.values()))
     node.rate = 1.0
     node.grants.append((runtime.now, used))
-    node.fall(0.5, 100)
-    assert node.rate == (node.floor if rate == "floor" else rate)
+    node.decrease_rate(0.5, 100)
+    assert node.rate == (node.min_rate if rate == "floor" else rate)
 
 
 def test_a_node_out_of_date_is_judged_well_again():
@@ -141,9 +141,9 @@
     brain, runtime = scheduler([at])
     node = brain.nodes[at]
     heard(node, *[100] * 8, *[9_000] * 8)
-    assert node.gap() < 0
+    assert node.headroom() < 0
     runtime.now += 20_001
-    assert node.gap() > 0
+    assert node.headroom() > 0
 
 
 def test_silence_while_work_is_out_counts_as_lag():
@@ -151,11 +151,11 @@
     brain, runtime = scheduler([at])
     node = brain.nodes[at]
     sent = task(runtime)
-    node.sent[sent] = runtime.now
+    node.sent_at[sent] = runtime.now
     runtime.now += 5_000
-    assert node.queueing() == 5_000 and node.gap() < 0
+    assert node.queueing_delay() == 5_000 and node.headroom() < 0
     node.learn(sent, outcome(OutcomeKind.ERROR))
-    assert node.queueing() == 0
+    assert node.queueing_delay() == 0
 
 
 @pytest.mark.parametrize(
@@ -172,11 +172,11 @@
 def test_an_idle_node_lends_and_to_a_line_in_debt_only_on_a_fresh_sample(out, debt, lag, turns):
     brain, runtime = scheduler([store()])
     node, asking = next(iter(brain.nodes.values())), task(runtime)
-    node.out, node.rate = out, node.floor
+    node.out, node.rate = out, node.min_rate
     brain.line_of(node, asking.volume).tokens = debt
     if lag is not None:
         heard(node, *[100] * 8, *[100 + lag] * 4)
-        brain.waits.put(node.store, runtime.now, node.queueing())
+        brain.delays.record(node.store, runtime.now, node.queueing_delay())
     node.hold(node.lines[asking.volume], asking)
     assert len(runtime.woken) == turns
 
@@ -186,7 +186,7 @@
     at = store()
     brain, runtime = scheduler([at])
     node = brain.nodes[at]
-    node.rate = node.usual / node.tightest
+    node.rate = node.usual / node.soft_limit
     node.starved, before = starved, node.rate
     runtime.now += 100
     node.accrue()
@@ -194,7 +194,7 @@
     for _ in range(200):
         node.starved, runtime.now = True, runtime.now + 100
         node.accrue()
-    assert node.rate * node.tightest < 32 * node.usual * 10
+    assert node.rate * node.soft_limit < 32 * node.usual * 10
 
 
 def test_reserved_volumes_leave_first_and_stop_at_their_deficit():
@@ -202,7 +202,7 @@
     at = store()
     brain, runtime = scheduler([at])
     node = brain.nodes[at]
-    node.resting = runtime.now + 10
+    node.resting_until = runtime.now + 10
     plain = Volume("p", PLAN, 1.0)
     rich = Volume("r", reserved, 1.0)
     tasks = [task(runtime, volume=plain, units=1.0) for _ in range(2)]
@@ -211,7 +211,7 @@
     assert all(isinstance(next(run), Wait) for run in runs)
     node.bucket = 0.0
     runtime.now += 10
-    node.rate, node.least, node.out = 1e-9, 100.0, 1
+    node.rate, node.largest_task, node.out = 1e-9, 100.0, 1
     node.lines[rich].balance, node.lines[rich].earns = -0.5, 1e-4
     node.round()
     assert [woken for woken, _ in runtime.woken] == [tasks[2]]
@@ -222,7 +222,7 @@
     at = store()
     brain, runtime = scheduler([at])
     node = brain.nodes[at]
-    quick = int(brain.tightest * 0.3 / 10)
+    quick = int(brain.soft_limit * 0.3 / 10)
     heard(node, *[quick] * 24)
     for _ in range(2_000):
         runtime.now += 100
@@ -264,7 +264,7 @@
     node = next(iter(brain.nodes.values()))
     volumes = [Volume(f"v{n}", replace(PLAN, reserve=5.0 * n), 1.0) for n in range(5)]
     lines = [brain.line_of(node, volume) for volume in volumes]
-    node.rate, node.resting = 0.01, 1 << 60  # nothing is granted by itself
+    node.rate, node.resting_until = 0.01, 1 << 60  # nothing is granted by itself
     walked = Walked(0.01, [line.earns for line in lines])
     for which, span, cost in steps:
         runtime.now += span
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -97,7 +97,7 @@
     brain, runtime = scheduler([at])
     node = brain.nodes[at]
     node.rate = 0.0
-    node.sent[task(runtime)] = runtime.now
+    node.sent_at[task(runtime)] = runtime.now
     node.out, node.tokens_out = 1, 100.0
     held = task(runtime)
     run = brain.serve(held)
@@ -145,7 +145,7 @@
     runtime.now += 200
     node.round()
     assert isinstance(run.send(WakeReason.GRANTED), Nack)
-    assert (node.out, node.tokens_out, node.sent) == (0, 0.0, {})
+    assert (node.out, node.tokens_out, node.sent_at) == (0, 0.0, {})
 
 
 def test_tasks_on_one_key_go_one_at_a_time_and_the_key_rests():
@@ -209,7 +209,7 @@
 def test_a_task_late_already_goes_only_where_nothing_waits(wait, want):
     brain, runtime = scheduler([store()])
     next(brain.serve(task(runtime)))
-    brain.waits.put(next(iter(brain.nodes)), runtime.now, wait)
+    brain.delays.record(next(iter(brain.nodes)), runtime.now, wait)
     late, node = task(runtime), next(iter(brain.nodes.values()))
     late.deadline = runtime.now + 5_000
     heard(node, *[100] * 8, *[100 + wait] * 4)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -115,7 +115,7 @@
 
 def heard(node, *lags):
     for lag in lags:
-        node.sample(lag, 2.0)
+        node.add_sample(lag, 2.0)
 
 
 def turn(run, runtime, brain):
