--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -8,7 +8,7 @@
 
 from tansykeel.interface import Outcome, OutcomeKind, Runtime, Store, StoreState, Task, Volume, WakeReason
 
-from .cold import DEMAND_SHARE, ROUND, SECOND, Young
+from .cold import DEMAND_SHARE, ROUND, SECOND, SlowStart
 from .rates import SAMPLE_LIFETIME, TARGET_SHARE, QueueDelays, StoreMeasurements
 
 RESET, FLOOR = SECOND, 0.1  # when the bucket is emptied; part of the rate that slices always share (design)
@@ -60,12 +60,16 @@
         largest_task: float,
         usual: float,
         soft_limit: int,
-        young: Young | None,
+        slow_start: SlowStart | None,
         delays: QueueDelays,
         gateways: int,
     ) -> None:
         super().__init__(store, runtime, rate, largest_task, usual, soft_limit, delays, gateways)
-        self.young, self.round_set, self.starved = young, False, False  # starved: tokens or bound held back
+        self.slow_start, self.round_set, self.starved = (
+            slow_start,
+            False,
+            False,
+        )  # starved: tokens or bound held back
         self.lines, self.holding = dict[Volume, Line](), list[Line]()  # holding: with held tasks, in order
         # Of the others: those whose balance is full (`has` for a token earned), when more will be, those that
         # held a task lately, those in debt, and the slices after which they owe nothing.
@@ -86,17 +90,21 @@
         if self.out and self.tokens_out + cost > self.token_bound():
             self.starved = True
             return False
-        return not self.young or self.young.room(self.store, self.runtime.now, task.units, self.answered_sent)
+        return not self.slow_start or self.slow_start.admits(
+            self.store, self.runtime.now, task.units, self.answered_sent
+        )
 
     def asked(self, line: Line, units: float, rate: float) -> None:
         """A first try has come. For a young store it counts within what its volume was sized for, `rate`."""
-        if self.young:
-            self.young.budget.asked.add(self.runtime.now, units)
-        if self.young and (part := self.young.bears(self.store, self.runtime.now, self.answered_sent)):
-            most = max(rate * self.young.rule.span, self.young.largest)
+        if self.slow_start:
+            self.slow_start.budget.demand.add(self.runtime.now, units)
+        if self.slow_start and (
+            part := self.slow_start.cold_capacity(self.store, self.runtime.now, self.answered_sent)
+        ):
+            most = max(rate * self.slow_start.rule.span, self.slow_start.largest)
             sized = min(line.sized + rate * (self.runtime.now - line.asked_at), most)
             line.asked_at, line.sized, counts = self.runtime.now, max(sized - units, 0.0), min(units, sized)
-            self.young.budget.plans_rate += rate - line.plans_rate
+            self.slow_start.budget.planned_rate += rate - line.plans_rate
             line.plans_rate = rate
             # With no queue there all send it less than its power, which is that much under what it bears. One
             # that answers at once whatever it gets shows no queue either: `earn` bounds this by its budget.
@@ -105,8 +113,8 @@
                 and self.samples[-1][0] >= self.runtime.now - SAMPLE_LIFETIME
                 and self.headroom() > 0
             )
-            earned = DEMAND_SHARE * part * counts * (self.young.rule.multiple if clear else 1)
-            self.young.earn(earned, self.runtime.now, part)
+            earned = DEMAND_SHARE * part * counts * (self.slow_start.rule.multiple if clear else 1)
+            self.slow_start.add_credit(earned, self.runtime.now, part)
 
     def hold(self, line: Line, task: Task) -> None:
         if not line.held:
@@ -162,8 +170,8 @@
         self.full_earn += line.earns
         while (oldest := next(iter(self.full))).at < self.runtime.now - FORGET and oldest not in self.owing:
             del self.full[oldest], self.lines[oldest.volume]
-            if self.young:
-                self.young.budget.plans_rate -= oldest.plans_rate
+            if self.slow_start:
+                self.slow_start.budget.planned_rate -= oldest.plans_rate
             self.earn, self.full_earn = self.earn - oldest.earns, self.full_earn - oldest.earns
 
     def round(self) -> None:
@@ -180,7 +188,8 @@
         if self.held and not self.round_set:
             self.round_set = True
             self.runtime.call_at(
-                max(self.runtime.now + ROUND, self.young.due if self.young else 0), self.next_round
+                max(self.runtime.now + ROUND, self.slow_start.next_room_at if self.slow_start else 0),
+                self.next_round,
             )
 
     def next_round(self) -> None:
@@ -251,8 +260,8 @@
         self.held, self.held_tokens, self.version = self.held - 1, self.held_tokens - cost, self.version + 1
         self.out, self.tokens_out, self.sent_at[task] = self.out + 1, self.tokens_out + cost, self.runtime.now
         self.grants.append((self.runtime.now, cost))
-        if self.young:
-            self.young.credit -= task.units
+        if self.slow_start:
+            self.slow_start.credit -= task.units
         if not line.held:
             self.lull(line)
         self.runtime.wake(task, WakeReason.GRANTED)
@@ -296,11 +305,11 @@
             )
             # A cold store takes several times as long: who answers as quickly as before was only cut off.
             if (
-                self.young
-                and sent > self.young.suspected
+                self.slow_start
+                and sent > self.slow_start.suspected_start
                 and outcome.latency < QUICK * self.unit_time * task.units
             ):
-                self.young.suspected = 0
+                self.slow_start.suspected_start = 0
             self.add_sample(outcome.latency, task.units)
             self.delays.record(self.store, now, self.queueing_delay())
             if (gap := self.headroom()) < 0:
@@ -312,7 +321,11 @@
         elif outcome.kind is OutcomeKind.NO_CONNECTION:
             # Guards against a restart that the list has not told: tried ever more seldom, it counts as cold.
             self.failures_in_row += 1
-            if self.young and self.failures_in_row > 1:
-                self.young.suspected, self.young.at, self.young.credit = now, now, min(self.young.credit, 0.0)
+            if self.slow_start and self.failures_in_row > 1:
+                self.slow_start.suspected_start, self.slow_start.credited_at, self.slow_start.credit = (
+                    now,
+                    now,
+                    min(self.slow_start.credit, 0.0),
+                )
             self.resting_until = now + PAUSE * min(self.failures_in_row, 5)
             self.runtime.call_at(self.resting_until, self.round)
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -26,7 +26,7 @@
     WakeReason,
 )
 
-from .cold import SECOND, TOLD, Young
+from .cold import SECOND, START_REPORTED_WITHIN, SlowStart
 from .nodes import PATIENCE, Line, Node, cost_of
 from .rates import OVERLOAD_LIFETIME, SAMPLE_COUNT, TARGET_SHARE, QueueDelays
 from .volumes import KeyLine, RetryBudget, VolumeState
@@ -58,7 +58,9 @@
         cold, gateways = self.config.slow_start, self.config.gateways
         for store in stores:
             if store not in self.nodes and store.state is not StoreState.GONE:
-                young = Young(cold, gateways, self.config.gateway_index, self.largest_task) if cold else None
+                slow_start = (
+                    SlowStart(cold, gateways, self.config.gateway_index, self.largest_task) if cold else None
+                )
                 self.nodes[store] = Node(
                     store,
                     self.runtime,
@@ -66,7 +68,7 @@
                     self.largest_task,
                     self.usual,
                     self.soft_limit,
-                    young,
+                    slow_start,
                     self.delays,
                     gateways,
                 )
@@ -91,7 +93,9 @@
 
     def list_failed(self) -> None:
         # Guards against news that whoever pushes holds: it counts as told, and calls there cost nothing.
-        wait = min(SECOND * 2**self.asks, TOLD // 3) if self.config.listing.must_poll else ANEW
+        wait = (
+            min(SECOND * 2**self.asks, START_REPORTED_WITHIN // 3) if self.config.listing.must_poll else ANEW
+        )
         self.asks += 1
         self.runtime.call_at(
             self.runtime.now + int(self.chance.uniform(0.5, 1.5) * wait), self.runtime.request_store_list
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import PLAN, heard, outcome, scheduler, store, task
 
-from tansykeel.brain.cold import DEMAND_SHARE, Young
+from tansykeel.brain.cold import DEMAND_SHARE, SlowStart
 from tansykeel.interface import (
     OutcomeKind,
     SlowStartRule,
@@ -24,28 +24,28 @@
     """Units that gateways send to a store in one span, each trying every 10 ms, with nothing asked."""
     sent = 0.0
     for now in range(start, start + COLD.span, 100):
-        for young in every:
-            while young.room(at, now, units, 0):
-                young.credit -= units
+        for slow_start in every:
+            while slow_start.admits(at, now, units, 0):
+                slow_start.credit -= units
                 sent += units
     return sent
 
 
 @pytest.mark.parametrize("gateways, age, part", [(1, 0, 4.0), (1, 100_000, 12.0), (2, 0, 2.0)])
 def test_a_young_store_gets_a_fifth_evenly(gateways, age, part):
-    young, at, start = Young(COLD, gateways, 0, 1.0), store(started=1_000), 1_000 + age
-    assert part - 1.0 <= sent_in_a_span([young], at, start, 0.1) <= part + 1.5
-    assert young.room(at, 1_000 + 190_000, 1e6, 0)
+    slow_start, at, start = SlowStart(COLD, gateways, 0, 1.0), store(started=1_000), 1_000 + age
+    assert part - 1.0 <= sent_in_a_span([slow_start], at, start, 0.1) <= part + 1.5
+    assert slow_start.admits(at, 1_000 + 190_000, 1e6, 0)
 
 
 def asked_of(brain, runtime, node, volume, units=2.0, shard=0):
     """A first try that is held, as `serve` does it; returns what it earned at the node."""
-    before, new = node.young.credit, task(runtime, units=units, shard=shard)
+    before, new = node.slow_start.credit, task(runtime, units=units, shard=shard)
     new.volume = volume
     run = brain.serve(new)
     next(run)
     run.close()
-    return node.young.credit - before
+    return node.slow_start.credit - before
 
 
 @pytest.mark.parametrize(
@@ -63,7 +63,7 @@
     node = brain.nodes[at]
     if clear:
         heard(node, 100, 100)
-    node.young.room(at, runtime.now, 8.0, 0)
+    node.slow_start.admits(at, runtime.now, 8.0, 0)
     node.out = 99  # nothing leaves
     earned = asked_of(brain, runtime, node, Volume("v", replace(PLAN, rate=100.0)))
     assert earned == pytest.approx(2.0 * part, rel=0.01)
@@ -75,12 +75,12 @@
     at = store(started=1_000_000 - 100)
     brain, runtime = scheduler([at], slow_start=replace(COLD, always_safe=0.0))
     node, volume = brain.nodes[at], Volume("v", replace(PLAN, rate=asked_per_second * units))
-    node.young.room(at, runtime.now, 8.0, 0)
+    node.slow_start.admits(at, runtime.now, 8.0, 0)
     node.out = 99  # nothing leaves
     earned = 0.0
     for _ in range(asked_per_second):
         heard(node, 100)
-        node.young.credit = 0.0
+        node.slow_start.credit = 0.0
         earned += asked_of(brain, runtime, node, volume, units)
         runtime.now += COLD.span // asked_per_second
     allowed = COLD.multiple * COLD.share * asked_per_second
@@ -92,16 +92,16 @@
     at = store(started=999_000)
     brain, runtime = scheduler([at], slow_start=replace(COLD, always_safe=0.0), gateways=4)
     node, volume = brain.nodes[at], Volume("v", replace(PLAN, rate=4.0), gateways=2.0)
-    node.young.room(at, runtime.now, 8.0, 0)
-    node.young.largest, node.out = 1e9, 99
+    node.slow_start.admits(at, runtime.now, 8.0, 0)
+    node.slow_start.largest, node.out = 1e9, 99
     again = task(runtime)
     again.resent = True
     next(brain.serve(again))
-    assert node.young.credit == 0
-    node.young.largest = 8.0
+    assert node.slow_start.credit == 0
+    node.slow_start.largest = 8.0
     earned = 0.0
     for _ in range(100):  # 200 units in a second
-        node.young.credit = 0.0
+        node.slow_start.credit = 0.0
         earned += asked_of(brain, runtime, node, volume)
         runtime.now += 100
     # One largest task at once and a second of what it is sized for, of which this gateway has half.
@@ -124,12 +124,12 @@
 @pytest.mark.parametrize("again, credit", [(10, True), (20_000, False)])
 def test_credit_stays_where_one_start_is_told_twice(again, credit):
     """Guards against the list and the store that tell of one start a little apart: credit would begin anew."""
-    young, at = Young(COLD, 1, 0, 8.0), store(started=500_000)
-    young.room(at, 509_000, 1.0, 0)
-    young.credit = 5.0
+    slow_start, at = SlowStart(COLD, 1, 0, 8.0), store(started=500_000)
+    slow_start.admits(at, 509_000, 1.0, 0)
+    slow_start.credit = 5.0
     at.started += again
-    young.room(at, 509_000 + again, 1.0, 0)
-    assert (young.credit >= 5.0) is credit
+    slow_start.admits(at, 509_000 + again, 1.0, 0)
+    assert (slow_start.credit >= 5.0) is credit
 
 
 def test_no_round_before_a_task_could_find_room_at_a_cold_node():
@@ -137,15 +137,15 @@
     at = store(started=999_000)
     brain, runtime = scheduler([at], slow_start=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
-    node.young.room(at, runtime.now, 2.0, 0)
-    node.young.credit = 2.0 * node.young.phase - 0.03
+    node.slow_start.admits(at, runtime.now, 2.0, 0)
+    node.slow_start.credit = 2.0 * node.slow_start.phase - 0.03
     again = task(runtime)
     again.resent = True  # it earns nothing
     run = brain.serve(again)
     next(run)
-    assert node.held == 1 and runtime.now + 100 < node.young.due < runtime.now + 1_000
-    assert min(moment for moment, call in runtime.alarms if call == node.next_round) == node.young.due
-    runtime.now = node.young.due
+    assert node.held == 1 and runtime.now + 100 < node.slow_start.next_room_at < runtime.now + 1_000
+    assert min(moment for moment, call in runtime.alarms if call == node.next_round) == node.slow_start.next_room_at
+    runtime.now = node.slow_start.next_room_at
     node.next_round()
     assert node.held == 0
 
@@ -156,13 +156,13 @@
     brain, runtime = scheduler([at], slow_start=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     runtime.now = 505_000
     node = brain.nodes[at]
-    node.young.room(at, runtime.now, 8.0, 0)
-    assert node.young.credit > 0
+    node.slow_start.admits(at, runtime.now, 8.0, 0)
+    assert node.slow_start.credit > 0
     for _ in range(2):
         sent = task(runtime)
         node.sent_at[sent] = runtime.now
         node.learn(sent, outcome(OutcomeKind.NO_CONNECTION))
-    assert node.young.credit == 0 and node.young.at == runtime.now
+    assert node.slow_start.credit == 0 and node.slow_start.credited_at == runtime.now
 
 
 @pytest.mark.parametrize(
@@ -181,7 +181,7 @@
         sent = task(runtime)
         node.sent_at[sent] = runtime.now
         node.learn(sent, outcome(how))
-    assert node.young.room(at, runtime.now, 4.1, 0) is room
+    assert node.slow_start.admits(at, runtime.now, 4.1, 0) is room
     assert node.usable() is (hows[0] is OutcomeKind.RESET)
 
 
@@ -200,7 +200,7 @@
     sent = task(runtime)
     node.sent_at[sent] = runtime.now
     node.learn(sent, outcome(OutcomeKind.DELIVERED, lag=int(100 * times)))
-    assert node.young.room(at, runtime.now, 1e6, node.answered_sent) is warm
+    assert node.slow_start.admits(at, runtime.now, 1e6, node.answered_sent) is warm
 
 
 def test_a_store_that_answers_and_of_which_no_start_was_told_had_not_started():
@@ -212,15 +212,15 @@
         sent = task(runtime)
         node.sent_at[sent] = runtime.now
         node.learn(sent, outcome(how))
-    assert not node.young.room(at, failed + 60_000, 1e6, node.answered_sent)  # it has not answered
+    assert not node.slow_start.admits(at, failed + 60_000, 1e6, node.answered_sent)  # it has not answered
     runtime.now += 10_000
     sent = task(runtime)
     node.sent_at[sent] = runtime.now
     node.learn(sent, outcome(OutcomeKind.DELIVERED))
-    assert not node.young.room(at, failed + 59_999, 1e6, node.answered_sent)  # a start may still be told
-    assert node.young.room(at, failed + 60_000, 1e6, node.answered_sent)
+    assert not node.slow_start.admits(at, failed + 59_999, 1e6, node.answered_sent)  # a start may still be told
+    assert node.slow_start.admits(at, failed + 60_000, 1e6, node.answered_sent)
     at.started = failed - 100  # it was told
-    assert not node.young.room(at, failed + 60_000, 1e6, node.answered_sent)
+    assert not node.slow_start.admits(at, failed + 60_000, 1e6, node.answered_sent)
 
 
 @pytest.mark.parametrize("gateways", [20, 30])
@@ -241,7 +241,7 @@
         weights = [3.0 if n % 4 == 0 else 1.0 for n in range(gateways)]
         waiting, sent, now = [deque() for _ in nodes], deque(), 1_000_000
         for node in nodes:
-            node.young.room(node.store, now, 1.0, 0)
+            node.slow_start.admits(node.store, now, 1.0, 0)
         due = now + chance.expovariate(rate)
         for now in range(1_000_100, 1_040_000, 100):
             while due <= now:
@@ -253,9 +253,9 @@
             for node, queue in zip(nodes, waiting, strict=True):
                 while queue and queue[0][0] < now - 5_000:
                     queue.popleft()
-                while queue and node.young.room(node.store, now, queue[0][1], 0):
+                while queue and node.slow_start.admits(node.store, now, queue[0][1], 0):
                     units = queue.popleft()[1]
-                    node.young.credit -= units
+                    node.slow_start.credit -= units
                     sent.append((now, units))
             while sent and sent[0][0] <= now - rule.span:
                 sent.popleft()
--- a/tests/brain/test_cold_fleet.py
+++ b/tests/brain/test_cold_fleet.py
@@ -51,9 +51,9 @@
         while self.held and self.held[0] < now - KEPT_FOR:
             self.held.popleft()
         sent = 0
-        while self.held and self.node.young.room(self.node.store, now, UNITS, 0):
+        while self.held and self.node.slow_start.admits(self.node.store, now, UNITS, 0):
             self.held.popleft()
-            self.node.young.credit -= UNITS
+            self.node.slow_start.credit -= UNITS
             sent += 1
         return sent
 
