--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -29,7 +29,7 @@
 from .cold import SECOND, START_REPORTED_WITHIN, SlowStart
 from .nodes import PATIENCE, Line, Node, cost_of
 from .rates import OVERLOAD_LIFETIME, SAMPLE_COUNT, TARGET_SHARE, QueueDelays
-from .volumes import KeyLine, RetryBudget, VolumeState
+from .volumes import KeyQueue, RetryBudget, VolumeState
 
 MARGIN, MOST_MARGIN = 1.5, 0.75  # times the lag left to a held task's soft limit; at most this part of that
 RANKING = 500  # the ranking for new objects is renewed every 50 ms
@@ -47,7 +47,7 @@
         self.soft_limit = min(category.soft_limit for category in config.categories)
         self.largest_task, self.usual = max(config.sizes.largest, 1.0), max(config.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
-        self.delays, self.keys, self.asks, self.rank_due = QueueDelays(), dict[int, KeyLine](), 0, 0
+        self.delays, self.keys, self.asks, self.rank_due = QueueDelays(), dict[int, KeyQueue](), 0, 0
         self.retry_budget = RetryBudget(config.retry_budget, runtime.now) if config.retry_budget else None
         self.patience: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
         if config.listing.must_poll:
@@ -150,16 +150,16 @@
                 line = self.line_of(node, task.volume)
                 if first:
                     first, state.shards[node.store.shard] = False, None
-                    rate = task.volume.plan.rate / SECOND * state.part(self.usual) / len(state.shards)
+                    rate = task.volume.plan.rate / SECOND * state.use_share(self.usual) / len(state.shards)
                     node.asked(line, task.units, rate)
                 latest = aim - int(min(node.expected_latency(task.units) * MARGIN, (aim - now) * MOST_MARGIN))
                 wait = self.limit_wait(task, state)
                 if self.runtime.now + wait >= latest:
                     break
                 if wait:
-                    state.short[task] = None
+                    state.waiting[task] = None
                     yield Wait(self.runtime.now + wait)
-                    state.short.pop(task, None)
+                    state.waiting.pop(task, None)
                     continue
                 node.hold(line, task)
                 if (signal := (yield Wait(latest))) is not WakeReason.GRANTED:
@@ -183,7 +183,7 @@
                     None,
                     None,
                 ):
-                    state.tell(task.units, outcome, task.volume.plan, self.runtime.now)
+                    state.record_use(task.units, outcome, task.volume.plan, self.runtime.now)
                 if not outcome.never_ran:
                     task.may_have_run.append((node.store, sent))
                     if (
@@ -198,7 +198,7 @@
         finally:
             if node and line:
                 node.drop(line, task)
-            state.short.pop(task, None)
+            state.waiting.pop(task, None)
             self.leave_key(task)
 
     def timeout(self, task: Task, node: Node, aim: int) -> int:
@@ -228,17 +228,17 @@
         if volume not in node.lines:
             line = node.lines[volume] = Line(node, node.count, volume)
             node.count += 1
-            line.earn(line.reserve / self.state_of(volume).hosts / max(len(self.by_shard), 1))
+            line.earn(line.reserve / self.state_of(volume).gateways / max(len(self.by_shard), 1))
         return node.lines[volume]
 
     def state_of(self, volume: Volume) -> VolumeState:
         if volume.state is None:
-            plan, hosts = volume.plan, volume.gateways if volume.gateways >= 1 else self.config.gateways
+            plan, gateways = volume.plan, volume.gateways if volume.gateways >= 1 else self.config.gateways
             shares = (
-                self.runtime.shares if hosts == self.config.gateways else EvenShares()
+                self.runtime.shares if gateways == self.config.gateways else EvenShares()
             )  # views divide among all
-            limit, depth = plan.limit / SECOND / hosts, plan.limit_depth / hosts
-            volume.state = VolumeState(hosts, limit, depth, self.born, shares)
+            limit, depth = plan.limit / SECOND / gateways, plan.limit_depth / gateways
+            volume.state = VolumeState(gateways, limit, depth, self.born, shares)
         return volume.state
 
     def spend(self, task: Task, line: Line, state: VolumeState) -> None:
@@ -247,9 +247,9 @@
         elif self.retry_budget:
             self.retry_budget.retries.append(self.runtime.now)
         task.hand_offs += 1
-        state.send(line, task.units)
-        total = state.total / state.part(self.usual)
-        for other, units in state.by_line.items() if line.reserve else ():
+        state.record_send(line, task.units)
+        total = state.recent_units / state.use_share(self.usual)
+        for other, units in state.units_by_queue.items() if line.reserve else ():
             other.earn(other.reserve * units / total)
 
     def limit_wait(self, task: Task, state: VolumeState) -> int:
@@ -267,19 +267,21 @@
     def ask(self, volume: Volume, state: VolumeState) -> int:
         """Ask some gateways of the volume for units, all while some are unknown; how long that may take."""
         now = self.runtime.now
-        if not self.config.allowed.peers or state.hosts <= 1:
+        if not self.config.allowed.peers or state.gateways <= 1:
             return 0
-        if now >= state.ask_due:
-            state.pause = ASK if 2 * state.got >= state.wish else min(2 * state.pause, SECOND)
-            state.asked, state.ask_due = now, now + state.pause
-            state.got, state.wish = 0.0, state.depth - state.units
+        if now >= state.next_ask_at:
+            state.ask_interval = (
+                ASK if 2 * state.received >= state.wanted else min(2 * state.ask_interval, SECOND)
+            )
+            state.asked_at, state.next_ask_at = now, now + state.ask_interval
+            state.received, state.wanted = 0.0, state.depth - state.units
             some: list[int | None] = [*self.chance.sample([*state.peers], min(ASKED, len(state.peers)))]
-            if len(state.peers) < state.hosts - 1 and now >= state.all_due:
-                some, state.all_due = [None], now + ALL
+            if len(state.peers) < state.gateways - 1 and now >= state.next_broadcast_at:
+                some, state.next_broadcast_at = [None], now + ALL
             for peer in some:
-                each = state.wish / (state.hosts - 1 if peer is None else len(some))
+                each = state.wanted / (state.gateways - 1 if peer is None else len(some))
                 self.runtime.send_to_peer(peer, PeerMessage(volume, each, False))
-        return max(state.asked + ASK - now, 0)
+        return max(state.asked_at + ASK - now, 0)
 
     def on_peer_message(self, peer: int, word: PeerMessage) -> None:
         """Another gateway gives units, asks for some (half at most; none where no task came) or greets."""
@@ -292,8 +294,8 @@
             state.fill(self.runtime.now, word.units if word.is_grant else 0.0)
             gift = min(word.units, max(state.units, 0.0) / 2)
             if word.is_grant:
-                state.got += word.units
-                for task in state.short:
+                state.received += word.units
+                for task in state.waiting:
                     self.runtime.wake(task, WakeReason.RECHECK)
             elif gift >= 1 or peer not in state.peers:
                 state.units -= gift
@@ -327,7 +329,9 @@
 
     def turn_on_key(self, task: Task, aim: int) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
         """Wait until the task is first on its key and the key has rested; False if that comes too late."""
-        line = self.keys.setdefault(task.key, KeyLine(self.born + self.config.key_rest))  # of an earlier life
+        line = self.keys.setdefault(
+            task.key, KeyQueue(self.born + self.config.key_rest)
+        )  # of an earlier life
         line.tasks.append(task)
         while line.tasks[0] is not task or self.runtime.now < line.rests_until:
             if self.runtime.now >= aim:
--- a/tansykeel/brain/volumes.py
+++ b/tansykeel/brain/volumes.py
@@ -8,10 +8,10 @@
 from .nodes import Line
 from .rates import OVERLOAD_LIFETIME
 
-LAST = 32  # of a volume's last hand-offs and answers, where it is used is worked out
+HISTORY_LENGTH = 32  # of a volume's last hand-offs and answers, where it is used is worked out
 
 
-class KeyLine:  # tasks of ordered categories that carry one key, in the order taken
+class KeyQueue:  # tasks of ordered categories that carry one key, in the order taken
     def __init__(self, rests_until: int) -> None:
         self.tasks, self.rests_until = deque[Task](), rests_until
 
@@ -33,47 +33,76 @@
 class VolumeState:
     """A volume over all nodes, and its limit's part here; units passed on are gone before they come."""
 
-    def __init__(self, hosts: float, limit: float, depth: float, born: int, shares: ShareProvider) -> None:
-        self.hosts, self.limit, self.depth, self.units, self.at = hosts, limit, depth, 0.0, born
+    def __init__(self, gateways: float, limit: float, depth: float, born: int, shares: ShareProvider) -> None:
+        self.gateways, self.limit, self.depth, self.units, self.filled_at = gateways, limit, depth, 0.0, born
         self.shares, self.started = (
             shares,
             False,
         )  # started: it is settled that the part starts full, or empty
         self.peers: dict[int, None] = {}  # other gateways heard to have tasks of the volume
-        self.asked = self.ask_due = self.all_due = born  # last; when some, or all, may be again
-        self.pause, self.wish, self.got = 0, 0.0, 0.0  # between asks; what the last was for, and brought
-        self.short, self.shards = dict[Task, None](), dict[int, None]()  # who waits for units; of first tries
-        self.sent, self.by_line = deque[tuple[Line, float]](), dict[Line, float]()  # of the last hand-offs
-        self.told = deque[tuple[float, float]]()  # of the last answers: units here, by all gateways
-        self.told_at, self.here, self.all, self.total = born, 0.0, 0.0, 0.0  # their sums
-
-    def tell(self, units: float, outcome: Outcome, plan: Plan, now: int) -> None:
+        self.asked_at = self.next_ask_at = self.next_broadcast_at = (
+            born  # last; when some, or all, may be again
+        )
+        self.ask_interval, self.wanted, self.received = (
+            0,
+            0.0,
+            0.0,
+        )  # between asks; what the last was for, and brought
+        self.waiting, self.shards = (
+            dict[Task, None](),
+            dict[int, None](),
+        )  # who waits for units; of first tries
+        self.recent_sends, self.units_by_queue = (
+            deque[tuple[Line, float]](),
+            dict[Line, float](),
+        )  # of the last hand-offs
+        self.recent_use = deque[tuple[float, float]]()  # of the last answers: units here, by all gateways
+        self.use_reported_at, self.use_here, self.use_everywhere, self.recent_units = (
+            born,
+            0.0,
+            0.0,
+            0.0,
+        )  # their sums
+
+    def record_use(self, units: float, outcome: Outcome, plan: Plan, now: int) -> None:
         """Take in the volume's use: through others since the last answer, or by the meter, through all."""
         used = (
             (outcome.plan_use_percent or 0)
             / 100
             * plan.rate
-            * min(now - self.told_at, OVERLOAD_LIFETIME)
+            * min(now - self.use_reported_at, OVERLOAD_LIFETIME)
             / SECOND
         )
-        self.told_at, by_all = now, used if outcome.used_elsewhere is None else units + outcome.used_elsewhere
-        self.told.append((units, by_all))
-        was = self.told.popleft() if len(self.told) > LAST else (0.0, 0.0)
-        self.here, self.all = self.here + units - was[0], self.all + by_all - was[1]
-
-    def send(self, line: Line, units: float) -> None:
-        self.sent.append((line, units))
-        self.by_line[line], self.total = self.by_line.get(line, 0.0) + units, self.total + units
-        if len(self.sent) > LAST:
-            line, units = self.sent.popleft()
-            self.by_line[line], self.total = self.by_line[line] - units, self.total - units
-            if self.by_line[line] <= 0:
-                del self.by_line[line]
-
-    def part(self, usual: float) -> float:
+        self.use_reported_at, by_all = (
+            now,
+            used if outcome.used_elsewhere is None else units + outcome.used_elsewhere,
+        )
+        self.recent_use.append((units, by_all))
+        was = self.recent_use.popleft() if len(self.recent_use) > HISTORY_LENGTH else (0.0, 0.0)
+        self.use_here, self.use_everywhere = (
+            self.use_here + units - was[0],
+            self.use_everywhere + by_all - was[1],
+        )
+
+    def record_send(self, line: Line, units: float) -> None:
+        self.recent_sends.append((line, units))
+        self.units_by_queue[line], self.recent_units = (
+            self.units_by_queue.get(line, 0.0) + units,
+            self.recent_units + units,
+        )
+        if len(self.recent_sends) > HISTORY_LENGTH:
+            line, units = self.recent_sends.popleft()
+            self.units_by_queue[line], self.recent_units = (
+                self.units_by_queue[line] - units,
+                self.recent_units - units,
+            )
+            if self.units_by_queue[line] <= 0:
+                del self.units_by_queue[line]
+
+    def use_share(self, usual: float) -> float:
         """This gateway's part of the volume's use; the even part weighs in as a usual task."""
-        return (self.here + usual / self.hosts) / (max(self.here, self.all) + usual)
+        return (self.use_here + usual / self.gateways) / (max(self.use_here, self.use_everywhere) + usual)
 
     def fill(self, now: int, more: float = 0.0) -> None:
-        span, most = self.shares.accrued(self.at, now)
-        self.units, self.at = min(self.units + self.limit * span + more, self.depth * most), now
+        span, most = self.shares.accrued(self.filled_at, now)
+        self.units, self.filled_at = min(self.units + self.limit * span + more, self.depth * most), now
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -68,8 +68,10 @@
     brain, _ = scheduler([])
     state = brain.state_of(Volume("v", PLAN, hosts))
     for here, there in told:
-        state.tell(here, Outcome(OutcomeKind.DELIVERED, 100, True, used_elsewhere=there), PLAN, state.told_at)
-    assert state.part(2.0) == pytest.approx(part)
+        state.record_use(
+            here, Outcome(OutcomeKind.DELIVERED, 100, True, used_elsewhere=there), PLAN, state.use_reported_at
+        )
+    assert state.use_share(2.0) == pytest.approx(part)
 
 
 @pytest.mark.parametrize("used, part", [(100, 0.2), (20, 1.0), (0, 1.0)])
@@ -78,8 +80,10 @@
     brain, _ = scheduler([])
     state = brain.state_of(Volume("v", PLAN, 10.0))
     for _ in range(1, 40):
-        state.tell(2.0, Outcome(OutcomeKind.DELIVERED, 100, True, plan_use_percent=used), PLAN, state.told_at + 10_000)
-    assert state.part(0.0) == pytest.approx(part)
+        state.record_use(
+            2.0, Outcome(OutcomeKind.DELIVERED, 100, True, plan_use_percent=used), PLAN, state.use_reported_at + 10_000
+        )
+    assert state.use_share(0.0) == pytest.approx(part)
 
 
 LIMITED = replace(PLAN, limit=4.0, limit_depth=40.0)
