--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -27,7 +27,7 @@
 )
 
 from .cold import SECOND, START_REPORTED_WITHIN, SlowStart
-from .nodes import PATIENCE, Line, Node, cost_of
+from .nodes import LOST_AFTER_LATENCIES, Node, VolumeQueue, cost_of
 from .rates import OVERLOAD_LIFETIME, SAMPLE_COUNT, TARGET_SHARE, QueueDelays
 from .volumes import KeyQueue, RetryBudget, VolumeState
 
@@ -73,7 +73,7 @@
                     gateways,
                 )
         for node in [n for n in self.nodes.values() if n.store.state is StoreState.GONE]:
-            if not node.out and not node.held and self.runtime.now - node.last_heard >= LEFT:
+            if not node.in_flight and not node.held_count and self.runtime.now - node.last_heard >= LEFT:
                 del self.nodes[node.store]
                 self.delays.by_store.pop(node.store, None)
         self.by_shard = {}
@@ -86,9 +86,9 @@
         self.rank()
         for node in list(self.nodes.values()):
             if self.by_shard.get(node.store.shard) is node:
-                node.round()
+                node.run_round()
                 continue
-            for task in [task for line in node.lines.values() for task in line.held]:
+            for task in [task for queue in node.queues.values() for task in queue.held]:
                 self.runtime.wake(task, WakeReason.RECHECK)
 
     def list_failed(self) -> None:
@@ -140,18 +140,18 @@
             aim = min(now + task.category.soft_limit, task.deadline)
         if self.retry_budget:
             self.retry_budget.tasks.append(now)
-        node, line, first = None, None, not task.resent and task.shard is not None
+        node, queue, first = None, None, not task.resent and task.shard is not None
         try:
             in_turn = not (task.category.ordered and task.key) or (yield from self.turn_on_key(task, aim))
             while in_turn and self.may_hand_off(task):
                 node = self.node_for(task)
                 if node is None or not self.may_go_to(task, node.store) or late and not node.shows_headroom():
                     break
-                line = self.line_of(node, task.volume)
+                queue = self.queue_of(node, task.volume)
                 if first:
                     first, state.shards[node.store.shard] = False, None
                     rate = task.volume.plan.rate / SECOND * state.use_share(self.usual) / len(state.shards)
-                    node.asked(line, task.units, rate)
+                    node.record_demand(queue, task.units, rate)
                 latest = aim - int(min(node.expected_latency(task.units) * MARGIN, (aim - now) * MOST_MARGIN))
                 wait = self.limit_wait(task, state)
                 if self.runtime.now + wait >= latest:
@@ -161,21 +161,21 @@
                     yield Wait(self.runtime.now + wait)
                     state.waiting.pop(task, None)
                     continue
-                node.hold(line, task)
+                node.enqueue(queue, task)
                 if (signal := (yield Wait(latest))) is not WakeReason.GRANTED:
-                    node.drop(line, task)
+                    node.remove(queue, task)
                     if signal is WakeReason.RECHECK:
                         continue
                     break
                 legal = self.may_hand_off(task) and self.may_go_to(task, node.store)
                 if not legal or self.limit_wait(task, state):
                     # The limit is charged at the turn: charged before, a held line could leave in one burst.
-                    node.recall(task)
+                    node.take_back(task)
                     continue
-                self.spend(task, line, state)
+                self.spend(task, queue, state)
                 sent, outcome = self.runtime.now, (yield HandOff(node.store, self.timeout(task, node, aim)))
                 assert isinstance(outcome, Outcome)
-                node.learn(task, outcome)
+                node.record_outcome(task, outcome)
                 if outcome.kind is OutcomeKind.DELIVERED and (
                     outcome.used_elsewhere,
                     outcome.plan_use_percent,
@@ -191,13 +191,13 @@
                         and task.key in self.keys
                     ):
                         self.keys[task.key].rests_until = self.runtime.now + self.config.key_rest
-                node.round()
+                node.run_round()
                 if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                     return
             yield self.final_answer(task)
         finally:
-            if node and line:
-                node.drop(line, task)
+            if node and queue:
+                node.remove(queue, task)
             state.waiting.pop(task, None)
             self.leave_key(task)
 
@@ -214,7 +214,9 @@
             or now >= self.delays.losses_until
         ):
             return 0
-        patience = max(PATIENCE * (lag := int(node.expected_latency(task.units))), self.soft_limit // 2)
+        patience = max(
+            LOST_AFTER_LATENCIES * (lag := int(node.expected_latency(task.units))), self.soft_limit // 2
+        )
         return patience if now + patience + lag * MARGIN < aim else 0
 
     def aim_of(self, task: Task) -> int:
@@ -224,12 +226,14 @@
         age = max(times) - times[-1] if times[-1] >= task.category.soft_limit else 0
         return min(self.runtime.now + task.category.soft_limit - age, task.deadline)
 
-    def line_of(self, node: Node, volume: Volume) -> Line:
-        if volume not in node.lines:
-            line = node.lines[volume] = Line(node, node.count, volume)
-            node.count += 1
-            line.earn(line.reserve / self.state_of(volume).gateways / max(len(self.by_shard), 1))
-        return node.lines[volume]
+    def queue_of(self, node: Node, volume: Volume) -> VolumeQueue:
+        if volume not in node.queues:
+            queue = node.queues[volume] = VolumeQueue(node, node.queue_count, volume)
+            node.queue_count += 1
+            queue.set_reserve(
+                queue.total_reserve / self.state_of(volume).gateways / max(len(self.by_shard), 1)
+            )
+        return node.queues[volume]
 
     def state_of(self, volume: Volume) -> VolumeState:
         if volume.state is None:
@@ -241,16 +245,16 @@
             volume.state = VolumeState(gateways, limit, depth, self.born, shares)
         return volume.state
 
-    def spend(self, task: Task, line: Line, state: VolumeState) -> None:
+    def spend(self, task: Task, queue: VolumeQueue, state: VolumeState) -> None:
         if not task.hand_offs:
             state.units -= task.units
         elif self.retry_budget:
             self.retry_budget.retries.append(self.runtime.now)
         task.hand_offs += 1
-        state.record_send(line, task.units)
+        state.record_send(queue, task.units)
         total = state.recent_units / state.use_share(self.usual)
-        for other, units in state.units_by_queue.items() if line.reserve else ():
-            other.earn(other.reserve * units / total)
+        for other, units in state.units_by_queue.items() if queue.total_reserve else ():
+            other.set_reserve(other.total_reserve * units / total)
 
     def limit_wait(self, task: Task, state: VolumeState) -> int:
         """Tenths until the limit has a first hand-off's units. A part starts empty, in a new fleet full."""
@@ -329,20 +333,20 @@
 
     def turn_on_key(self, task: Task, aim: int) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
         """Wait until the task is first on its key and the key has rested; False if that comes too late."""
-        line = self.keys.setdefault(
+        queue = self.keys.setdefault(
             task.key, KeyQueue(self.born + self.config.key_rest)
         )  # of an earlier life
-        line.tasks.append(task)
-        while line.tasks[0] is not task or self.runtime.now < line.rests_until:
+        queue.tasks.append(task)
+        while queue.tasks[0] is not task or self.runtime.now < queue.rests_until:
             if self.runtime.now >= aim:
                 return False
-            yield Wait(min(line.rests_until, aim) if line.tasks[0] is task else aim)
+            yield Wait(min(queue.rests_until, aim) if queue.tasks[0] is task else aim)
         return True
 
     def leave_key(self, task: Task) -> None:
-        if task.category.ordered and (line := self.keys.get(task.key)) and task in line.tasks:
-            line.tasks.remove(task)
-            if line.tasks:
-                self.runtime.wake(line.tasks[0], WakeReason.RECHECK)
-            elif self.runtime.now >= line.rests_until:
+        if task.category.ordered and (queue := self.keys.get(task.key)) and task in queue.tasks:
+            queue.tasks.remove(task)
+            if queue.tasks:
+                self.runtime.wake(queue.tasks[0], WakeReason.RECHECK)
+            elif self.runtime.now >= queue.rests_until:
                 del self.keys[task.key]
--- a/tansykeel/brain/volumes.py
+++ b/tansykeel/brain/volumes.py
@@ -5,7 +5,7 @@
 from tansykeel.interface import Outcome, Plan, RetryBudgetRule, ShareProvider, Task
 
 from .cold import SECOND
-from .nodes import Line
+from .nodes import VolumeQueue
 from .rates import OVERLOAD_LIFETIME
 
 HISTORY_LENGTH = 32  # of a volume's last hand-offs and answers, where it is used is worked out
@@ -53,8 +53,8 @@
             dict[int, None](),
         )  # who waits for units; of first tries
         self.recent_sends, self.units_by_queue = (
-            deque[tuple[Line, float]](),
-            dict[Line, float](),
+            deque[tuple[VolumeQueue, float]](),
+            dict[VolumeQueue, float](),
         )  # of the last hand-offs
         self.recent_use = deque[tuple[float, float]]()  # of the last answers: units here, by all gateways
         self.use_reported_at, self.use_here, self.use_everywhere, self.recent_units = (
@@ -84,20 +84,20 @@
             self.use_everywhere + by_all - was[1],
         )
 
-    def record_send(self, line: Line, units: float) -> None:
-        self.recent_sends.append((line, units))
-        self.units_by_queue[line], self.recent_units = (
-            self.units_by_queue.get(line, 0.0) + units,
+    def record_send(self, queue: VolumeQueue, units: float) -> None:
+        self.recent_sends.append((queue, units))
+        self.units_by_queue[queue], self.recent_units = (
+            self.units_by_queue.get(queue, 0.0) + units,
             self.recent_units + units,
         )
         if len(self.recent_sends) > HISTORY_LENGTH:
-            line, units = self.recent_sends.popleft()
-            self.units_by_queue[line], self.recent_units = (
-                self.units_by_queue[line] - units,
+            queue, units = self.recent_sends.popleft()
+            self.units_by_queue[queue], self.recent_units = (
+                self.units_by_queue[queue] - units,
                 self.recent_units - units,
             )
-            if self.units_by_queue[line] <= 0:
-                del self.units_by_queue[line]
+            if self.units_by_queue[queue] <= 0:
+                del self.units_by_queue[queue]
 
     def use_share(self, usual: float) -> float:
         """This gateway's part of the volume's use; the even part weighs in as a usual task."""
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -64,7 +64,7 @@
     if clear:
         heard(node, 100, 100)
     node.slow_start.admits(at, runtime.now, 8.0, 0)
-    node.out = 99  # nothing leaves
+    node.in_flight = 99  # nothing leaves
     earned = asked_of(brain, runtime, node, Volume("v", replace(PLAN, rate=100.0)))
     assert earned == pytest.approx(2.0 * part, rel=0.01)
 
@@ -76,7 +76,7 @@
     brain, runtime = scheduler([at], slow_start=replace(COLD, always_safe=0.0))
     node, volume = brain.nodes[at], Volume("v", replace(PLAN, rate=asked_per_second * units))
     node.slow_start.admits(at, runtime.now, 8.0, 0)
-    node.out = 99  # nothing leaves
+    node.in_flight = 99  # nothing leaves
     earned = 0.0
     for _ in range(asked_per_second):
         heard(node, 100)
@@ -93,7 +93,7 @@
     brain, runtime = scheduler([at], slow_start=replace(COLD, always_safe=0.0), gateways=4)
     node, volume = brain.nodes[at], Volume("v", replace(PLAN, rate=4.0), gateways=2.0)
     node.slow_start.admits(at, runtime.now, 8.0, 0)
-    node.slow_start.largest, node.out = 1e9, 99
+    node.slow_start.largest, node.in_flight = 1e9, 99
     again = task(runtime)
     again.resent = True
     next(brain.serve(again))
@@ -113,12 +113,12 @@
     brain, runtime = scheduler(stores, slow_start=replace(COLD, always_safe=0.0, span=100))
     volume = Volume("v", replace(PLAN, rate=100.0), gateways=1.0)
     for at in stores:
-        brain.nodes[at].out = 99
+        brain.nodes[at].in_flight = 99
         asked_of(brain, runtime, brain.nodes[at], volume, shard=at.shard)
-    line = brain.nodes[stores[1]].lines[volume]
-    line.sized, runtime.now = 0.0, runtime.now + 1_000
+    queue = brain.nodes[stores[1]].queues[volume]
+    queue.demand_allowance, runtime.now = 0.0, runtime.now + 1_000
     asked_of(brain, runtime, brain.nodes[stores[1]], volume, units=1.0, shard=1)
-    assert line.sized == pytest.approx(5.0 - 1.0)
+    assert queue.demand_allowance == pytest.approx(5.0 - 1.0)
 
 
 @pytest.mark.parametrize("again, credit", [(10, True), (20_000, False)])
@@ -143,11 +143,14 @@
     again.resent = True  # it earns nothing
     run = brain.serve(again)
     next(run)
-    assert node.held == 1 and runtime.now + 100 < node.slow_start.next_room_at < runtime.now + 1_000
-    assert min(moment for moment, call in runtime.alarms if call == node.next_round) == node.slow_start.next_room_at
+    assert node.held_count == 1 and runtime.now + 100 < node.slow_start.next_room_at < runtime.now + 1_000
+    assert (
+        min(moment for moment, call in runtime.alarms if call == node.run_scheduled_round)
+        == node.slow_start.next_room_at
+    )
     runtime.now = node.slow_start.next_room_at
-    node.next_round()
-    assert node.held == 0
+    node.run_scheduled_round()
+    assert node.held_count == 0
 
 
 def test_credit_from_before_a_store_was_found_out_of_reach_is_gone():
@@ -161,7 +164,7 @@
     for _ in range(2):
         sent = task(runtime)
         node.sent_at[sent] = runtime.now
-        node.learn(sent, outcome(OutcomeKind.NO_CONNECTION))
+        node.record_outcome(sent, outcome(OutcomeKind.NO_CONNECTION))
     assert node.slow_start.credit == 0 and node.slow_start.credited_at == runtime.now
 
 
@@ -180,7 +183,7 @@
     for how in hows:
         sent = task(runtime)
         node.sent_at[sent] = runtime.now
-        node.learn(sent, outcome(how))
+        node.record_outcome(sent, outcome(how))
     assert node.slow_start.admits(at, runtime.now, 4.1, 0) is room
     assert node.usable() is (hows[0] is OutcomeKind.RESET)
 
@@ -195,11 +198,11 @@
     for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
         sent = task(runtime)
         node.sent_at[sent] = runtime.now
-        node.learn(sent, outcome(how))
+        node.record_outcome(sent, outcome(how))
     runtime.now += 10_000
     sent = task(runtime)
     node.sent_at[sent] = runtime.now
-    node.learn(sent, outcome(OutcomeKind.DELIVERED, lag=int(100 * times)))
+    node.record_outcome(sent, outcome(OutcomeKind.DELIVERED, lag=int(100 * times)))
     assert node.slow_start.admits(at, runtime.now, 1e6, node.answered_sent) is warm
 
 
@@ -211,12 +214,12 @@
     for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
         sent = task(runtime)
         node.sent_at[sent] = runtime.now
-        node.learn(sent, outcome(how))
+        node.record_outcome(sent, outcome(how))
     assert not node.slow_start.admits(at, failed + 60_000, 1e6, node.answered_sent)  # it has not answered
     runtime.now += 10_000
     sent = task(runtime)
     node.sent_at[sent] = runtime.now
-    node.learn(sent, outcome(OutcomeKind.DELIVERED))
+    node.record_outcome(sent, outcome(OutcomeKind.DELIVERED))
     assert not node.slow_start.admits(at, failed + 59_999, 1e6, node.answered_sent)  # a start may still be told
     assert node.slow_start.admits(at, failed + 60_000, 1e6, node.answered_sent)
     at.started = failed - 100  # it was told
@@ -237,7 +240,7 @@
             for me in range(gateways)
         ]
         nodes = [next(iter(brain.nodes.values())) for brain, _ in brains]
-        lines = [brain.line_of(node, Volume("v", PLAN)) for (brain, _), node in zip(brains, nodes, strict=True)]
+        queues = [brain.queue_of(node, Volume("v", PLAN)) for (brain, _), node in zip(brains, nodes, strict=True)]
         weights = [3.0 if n % 4 == 0 else 1.0 for n in range(gateways)]
         waiting, sent, now = [deque() for _ in nodes], deque(), 1_000_000
         for node in nodes:
@@ -247,7 +250,7 @@
             while due <= now:
                 at, units = chance.choices(range(gateways), weights)[0], min(chance.expovariate(1.0), 4.0)
                 brains[at][1].now = now
-                nodes[at].asked(lines[at], units, 1e9)
+                nodes[at].record_demand(queues[at], units, 1e9)
                 waiting[at].append((now, units))
                 due += chance.expovariate(rate)
             for node, queue in zip(nodes, waiting, strict=True):
--- a/tests/brain/test_cold_fleet.py
+++ b/tests/brain/test_cold_fleet.py
@@ -37,12 +37,12 @@
     """One scheduler's view of the store, and the requests that it holds for it."""
 
     node: object
-    line: object
+    queue: object
     runtime: object
     held: deque[int] = field(default_factory=deque)
 
     def ask(self, now, rate):
-        self.node.asked(self.line, UNITS, rate)
+        self.node.record_demand(self.queue, UNITS, rate)
         self.held.append(now)
 
     def send(self, now):
@@ -65,7 +65,7 @@
     for me in range(gateways):
         brain, runtime = scheduler([store(started=START)], slow_start=rule, gateways=gateways, gateway_index=me)
         node = next(iter(brain.nodes.values()))
-        made.append(Gateway(node, brain.line_of(node, Volume("v", PLAN)), runtime))
+        made.append(Gateway(node, brain.queue_of(node, Volume("v", PLAN)), runtime))
     return made
 
 
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -219,16 +219,16 @@
     brain, runtime = scheduler([store()], plans=(plan,))
     volume, node = Volume("v", plan, 1.0), next(iter(brain.nodes.values()))
     state = brain.state_of(volume)
-    state.units, node.out, node.tokens_out = 10.0, 1, 1e9
+    state.units, node.in_flight, node.tokens_out = 10.0, 1, 1e9
     runs = [brain.serve(task(runtime, units=8.0, volume=volume)) for _ in range(2)]
     assert all(isinstance(next(run), Wait) for run in runs)
-    node.out = node.tokens_out = 0
+    node.in_flight = node.tokens_out = 0
     node.bucket = 100.0
-    node.round()
+    node.run_round()
     assert len(runtime.woken) == 1
     assert isinstance(runs[0].send(WakeReason.GRANTED), HandOff) and state.units == 2.0
-    node.out = node.tokens_out = 0
-    node.round()
+    node.in_flight = node.tokens_out = 0
+    node.run_round()
     assert not isinstance(runs[1].send(WakeReason.GRANTED), HandOff)
 
 
--- a/tests/brain/test_rates.py
+++ b/tests/brain/test_rates.py
@@ -27,8 +27,8 @@
         node = brain.nodes[stores[-1]]
         sent = task(runtime)
         node.sent_at[sent] = runtime.now
-        node.learn(sent, outcome(OutcomeKind.DELIVERED))
-        node.out = 0
+        node.record_outcome(sent, outcome(OutcomeKind.DELIVERED))
+        node.in_flight = 0
         stores[-1].state = StoreState.GONE
         stores.append(store(shard=0, started=runtime.now))
         brain.list_changed(stores, True)
@@ -45,16 +45,16 @@
     node.rate = 1.0
     first, second = task(runtime), task(runtime)
     for out in (first, second):
-        node.hold(brain.line_of(node, out.volume), out)
+        node.enqueue(brain.queue_of(node, out.volume), out)
         runtime.now += 100
-        node.round()
+        node.run_round()
     assert state.units == 0.0 and list(node.sent_at) == [first, second]
-    node.learn(second, outcome(OutcomeKind.DELIVERED, 100))
+    node.record_outcome(second, outcome(OutcomeKind.DELIVERED, 100))
     rate, lags = node.rate, list(node.samples)
     runtime.now += 5_000
     assert node.queueing_delay() == 0.0  # the node is not silent: it answered what was sent later
-    node.learn(first, outcome(OutcomeKind.TIMED_OUT, 5_100))
-    assert (node.rate, list(node.samples), node.out) == (rate, lags, 0)
+    node.record_outcome(first, outcome(OutcomeKind.TIMED_OUT, 5_100))
+    assert (node.rate, list(node.samples), node.in_flight) == (rate, lags, 0)
     assert runtime.now < brain.delays.losses_until <= runtime.now + 10 * 10_000
 
 
@@ -63,11 +63,11 @@
     at = store()
     brain, runtime = scheduler([at])
     node, sent = brain.nodes[at], task(runtime)
-    node.hold(brain.line_of(node, sent.volume), sent)
+    node.enqueue(brain.queue_of(node, sent.volume), sent)
     runtime.now += 100
-    node.round()
+    node.run_round()
     brain.delays.losses_until = runtime.now + lost
-    node.learn(sent, outcome(OutcomeKind.TIMED_OUT, 5_000))
+    node.record_outcome(sent, outcome(OutcomeKind.TIMED_OUT, 5_000))
     assert len(node.samples) == samples
 
 
@@ -154,7 +154,7 @@
     node.sent_at[sent] = runtime.now
     runtime.now += 5_000
     assert node.queueing_delay() == 5_000 and node.headroom() < 0
-    node.learn(sent, outcome(OutcomeKind.ERROR))
+    node.record_outcome(sent, outcome(OutcomeKind.ERROR))
     assert node.queueing_delay() == 0
 
 
@@ -172,12 +172,12 @@
 def test_an_idle_node_lends_and_to_a_line_in_debt_only_on_a_fresh_sample(out, debt, lag, turns):
     brain, runtime = scheduler([store()])
     node, asking = next(iter(brain.nodes.values())), task(runtime)
-    node.out, node.rate = out, node.min_rate
-    brain.line_of(node, asking.volume).tokens = debt
+    node.in_flight, node.rate = out, node.min_rate
+    brain.queue_of(node, asking.volume).tokens = debt
     if lag is not None:
         heard(node, *[100] * 8, *[100 + lag] * 4)
         brain.delays.record(node.store, runtime.now, node.queueing_delay())
-    node.hold(node.lines[asking.volume], asking)
+    node.enqueue(node.queues[asking.volume], asking)
     assert len(runtime.woken) == turns
 
 
@@ -211,9 +211,9 @@
     assert all(isinstance(next(run), Wait) for run in runs)
     node.bucket = 0.0
     runtime.now += 10
-    node.rate, node.largest_task, node.out = 1e-9, 100.0, 1
-    node.lines[rich].balance, node.lines[rich].earns = -0.5, 1e-4
-    node.round()
+    node.rate, node.largest_task, node.in_flight = 1e-9, 100.0, 1
+    node.queues[rich].balance, node.queues[rich].reserve = -0.5, 1e-4
+    node.run_round()
     assert [woken for woken, _ in runtime.woken] == [tasks[2]]
 
 
@@ -263,46 +263,46 @@
     brain, runtime = scheduler([store()])
     node = next(iter(brain.nodes.values()))
     volumes = [Volume(f"v{n}", replace(PLAN, reserve=5.0 * n), 1.0) for n in range(5)]
-    lines = [brain.line_of(node, volume) for volume in volumes]
+    queues = [brain.queue_of(node, volume) for volume in volumes]
     node.rate, node.resting_until = 0.01, 1 << 60  # nothing is granted by itself
-    walked = Walked(0.01, [line.earns for line in lines])
+    walked = Walked(0.01, [queue.reserve for queue in queues])
     for which, span, cost in steps:
         runtime.now += span
         node.accrue()
         walked.step(runtime.now, span)
-        held, line = task(runtime, volume=volumes[which]), lines[which]
-        node.hold(line, held)
+        held, queue = task(runtime, volume=volumes[which]), queues[which]
+        node.enqueue(queue, held)
         walked.holds.add(which)
-        assert line.tokens == pytest.approx(walked.tokens[which], abs=1e-6)
-        if line.earns and walked.balance[which] < 299 * line.earns:
-            assert line.balance == pytest.approx(walked.balance[which], abs=1e-6)
+        assert queue.tokens == pytest.approx(walked.tokens[which], abs=1e-6)
+        if queue.reserve and walked.balance[which] < 299 * queue.reserve:
+            assert queue.balance == pytest.approx(walked.balance[which], abs=1e-6)
         runtime.now += span
         node.accrue()
         walked.step(runtime.now, span)
-        line.tokens -= cost
-        line.balance = walked.balance[which] = min(line.balance, walked.balance[which]) - cost
+        queue.tokens -= cost
+        queue.balance = walked.balance[which] = min(queue.balance, walked.balance[which]) - cost
         walked.tokens[which] -= cost
-        node.drop(line, held)
+        node.remove(queue, held)
         walked.holds.discard(which)
         walked.tokens[which] = min(walked.tokens[which], 0.0)
         walked.late[which] = runtime.now
-        assert node.earn == pytest.approx(sum(walked.earns))
+        assert node.reserve == pytest.approx(sum(walked.earns))
 
 
 def test_volumes_long_gone_are_let_go_and_come_back_as_new():
     brain, runtime = scheduler([store()])
     node = next(iter(brain.nodes.values()))
     gone, here = Volume("gone", replace(PLAN, reserve=2.0), 1.0), Volume("here", replace(PLAN, reserve=2.0), 1.0)
-    line = brain.line_of(node, gone)
-    assert node.earn == line.earns > 0
+    queue = brain.queue_of(node, gone)
+    assert node.reserve == queue.reserve > 0
     for _ in range(8):
         runtime.now += 1_000_000
         held = task(runtime, volume=here)
-        node.hold(brain.line_of(node, here), held)
-        node.drop(brain.line_of(node, here), held)
+        node.enqueue(brain.queue_of(node, here), held)
+        node.remove(brain.queue_of(node, here), held)
         runtime.now += 10_000
         node.accrue()
-    assert list(node.lines) == [here] and node.earn == pytest.approx(line.earns)
-    line.earn(1.0)  # a volume's old line is still told of: it counts no more
-    assert node.earn == pytest.approx(node.lines[here].earns)
-    assert brain.line_of(node, gone) is not line
+    assert list(node.queues) == [here] and node.reserve == pytest.approx(queue.reserve)
+    queue.set_reserve(1.0)  # a volume's old line is still told of: it counts no more
+    assert node.reserve == pytest.approx(node.queues[here].reserve)
+    assert brain.queue_of(node, gone) is not queue
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -31,7 +31,7 @@
     with pytest.raises(StopIteration):
         run.send(outcome(OutcomeKind.DELIVERED))
     node = brain.nodes[at]
-    assert (node.out, node.tokens_out, node.held) == (0, 0.0, 0)
+    assert (node.in_flight, node.tokens_out, node.held_count) == (0, 0.0, 0)
 
 
 @pytest.mark.parametrize(
@@ -98,7 +98,7 @@
     node = brain.nodes[at]
     node.rate = 0.0
     node.sent_at[task(runtime)] = runtime.now
-    node.out, node.tokens_out = 1, 100.0
+    node.in_flight, node.tokens_out = 1, 100.0
     held = task(runtime)
     run = brain.serve(held)
     assert isinstance(next(run), Wait)
@@ -143,9 +143,9 @@
     assert isinstance(run.send(outcome(OutcomeKind.ERROR)), Wait)
     brain.retry_budget.retries.append(runtime.now)
     runtime.now += 200
-    node.round()
+    node.run_round()
     assert isinstance(run.send(WakeReason.GRANTED), Nack)
-    assert (node.out, node.tokens_out, node.sent_at) == (0, 0.0, {})
+    assert (node.in_flight, node.tokens_out, node.sent_at) == (0, 0.0, {})
 
 
 def test_tasks_on_one_key_go_one_at_a_time_and_the_key_rests():
@@ -229,7 +229,7 @@
 @pytest.mark.parametrize("signal", [WakeReason.TIMER, WakeReason.GRANTED])
 def test_a_wake_up_far_past_its_time_sends_nothing(signal):
     brain, runtime = scheduler([store()])
-    next(iter(brain.nodes.values())).out = 1
+    next(iter(brain.nodes.values())).in_flight = 1
     run = brain.serve(task(runtime))
     assert isinstance(next(run), Wait)
     runtime.now += 50_000
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -123,6 +123,6 @@
     assert isinstance(next(run), Wait)
     runtime.now += 200
     for node in brain.nodes.values():
-        node.round()
+        node.run_round()
     assert runtime.woken[-1][1] is WakeReason.GRANTED
     return run.send(WakeReason.GRANTED)
