--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -31,30 +31,52 @@
 from .rates import OVERLOAD_LIFETIME, SAMPLE_COUNT, TARGET_SHARE, QueueDelays
 from .volumes import KeyQueue, RetryBudget, VolumeState
 
-MARGIN, MOST_MARGIN = 1.5, 0.75  # times the lag left to a held task's soft limit; at most this part of that
-RANKING = 500  # the ranking for new objects is renewed every 50 ms
-LEFT, NEW = 30 * SECOND, 2 * SECOND  # nodes gone are let go; gateways started within it: a new fleet
-ASK, ANEW = 800, 500  # when gateways asked for units have answered or will not; a pushed list is tried anew
-ASKED, ALL = 6, 6 * SECOND  # so many are asked at once; all gateways at most once in a while
+LATENCY_MARGIN, MAX_MARGIN_SHARE = (
+    1.5,
+    0.75,
+)  # times the lag left to a held task's soft limit; at most this part of that
+RANKING_INTERVAL = 500  # the ranking for new objects is renewed every 50 ms
+GONE_LIFETIME, NEW_FLEET_WINDOW = (
+    30 * SECOND,
+    2 * SECOND,
+)  # nodes gone are let go; gateways started within it: a new fleet
+PEER_REPLY_TIME, PUSH_RETRY_DELAY = (
+    800,
+    500,
+)  # when gateways asked for units have answered or will not; a pushed list is tried anew
+PEERS_PER_ASK, BROADCAST_INTERVAL = (
+    6,
+    6 * SECOND,
+)  # so many are asked at once; all gateways at most once in a while
 
 
 class Scheduler:
     def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
-        self.config, self.runtime, self.chance, self.born = config, runtime, random.Random(seed), runtime.now
-        self.new: bool | None = None  # whether all gateways are, where another has said so
+        self.config, self.runtime, self.rng, self.started_at = (
+            config,
+            runtime,
+            random.Random(seed),
+            runtime.now,
+        )
+        self.fleet_is_new: bool | None = None  # whether all gateways are, where another has said so
         if config.allowed.peers:
             runtime.call_at(runtime.now, lambda: runtime.send_to_peer(None, PeerMessage(None, 0.0, False)))
         self.soft_limit = min(category.soft_limit for category in config.categories)
         self.largest_task, self.usual = max(config.sizes.largest, 1.0), max(config.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
-        self.delays, self.keys, self.asks, self.rank_due = QueueDelays(), dict[int, KeyQueue](), 0, 0
+        self.delays, self.keys, self.list_failures, self.next_rank_at = (
+            QueueDelays(),
+            dict[int, KeyQueue](),
+            0,
+            0,
+        )
         self.retry_budget = RetryBudget(config.retry_budget, runtime.now) if config.retry_budget else None
-        self.patience: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
+        self.time_left: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
         if config.listing.must_poll:
             runtime.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
-        self.asks = 0 if confirmed else self.asks
+        self.list_failures = 0 if confirmed else self.list_failures
         cold, gateways = self.config.slow_start, self.config.gateways
         for store in stores:
             if store not in self.nodes and store.state is not StoreState.GONE:
@@ -73,7 +95,11 @@
                     gateways,
                 )
         for node in [n for n in self.nodes.values() if n.store.state is StoreState.GONE]:
-            if not node.in_flight and not node.held_count and self.runtime.now - node.last_heard >= LEFT:
+            if (
+                not node.in_flight
+                and not node.held_count
+                and self.runtime.now - node.last_heard >= GONE_LIFETIME
+            ):
                 del self.nodes[node.store]
                 self.delays.by_store.pop(node.store, None)
         self.by_shard = {}
@@ -94,11 +120,13 @@
     def list_failed(self) -> None:
         # Guards against news that whoever pushes holds: it counts as told, and calls there cost nothing.
         wait = (
-            min(SECOND * 2**self.asks, START_REPORTED_WITHIN // 3) if self.config.listing.must_poll else ANEW
+            min(SECOND * 2**self.list_failures, START_REPORTED_WITHIN // 3)
+            if self.config.listing.must_poll
+            else PUSH_RETRY_DELAY
         )
-        self.asks += 1
+        self.list_failures += 1
         self.runtime.call_at(
-            self.runtime.now + int(self.chance.uniform(0.5, 1.5) * wait), self.runtime.request_store_list
+            self.runtime.now + int(self.rng.uniform(0.5, 1.5) * wait), self.runtime.request_store_list
         )
 
     def average_rate(self) -> float:
@@ -112,7 +140,7 @@
 
     def rank(self) -> None:
         """Order the nodes for new objects by the time a task would spend there, failures counted in."""
-        self.rank_due = self.runtime.now + RANKING
+        self.next_rank_at = self.runtime.now + RANKING_INTERVAL
 
         def dwell(node: Node) -> float:
             failing = node.successes.count(False) / max(len(node.successes), 1)
@@ -121,12 +149,12 @@
             )
 
         ready = [node for node in self.by_shard.values() if node.usable()]
-        self.ranked = sorted(ready, key=lambda node: (dwell(node), self.chance.uniform(0, 1)))
+        self.ranked = sorted(ready, key=lambda node: (dwell(node), self.rng.uniform(0, 1)))
 
     def node_for(self, task: Task) -> Node | None:
         if task.shard is not None:
             return self.by_shard.get(task.shard)
-        if self.runtime.now >= self.rank_due:
+        if self.runtime.now >= self.next_rank_at:
             self.rank()
         for node in self.ranked:
             if node.usable() and node.held_tokens + node.tokens_out + cost_of(task) <= node.token_bound() / 2:
@@ -135,24 +163,26 @@
 
     def serve(self, task: Task) -> Generator[TaskAction, WakeReason | Outcome | None, None]:
         """The ordinary path: find the node, wait for the turn, hand off, judge the outcome."""
-        now, state, aim = self.runtime.now, self.state_of(task.volume), self.aim_of(task)
-        if late := aim <= now:  # worth little any more: it goes only where nothing waits
-            aim = min(now + task.category.soft_limit, task.deadline)
+        now, state, due = self.runtime.now, self.volume_state(task.volume), self.soft_deadline(task)
+        if late := due <= now:  # worth little any more: it goes only where nothing waits
+            due = min(now + task.category.soft_limit, task.deadline)
         if self.retry_budget:
             self.retry_budget.tasks.append(now)
-        node, queue, first = None, None, not task.resent and task.shard is not None
+        node, queue, first_try = None, None, not task.resent and task.shard is not None
         try:
-            in_turn = not (task.category.ordered and task.key) or (yield from self.turn_on_key(task, aim))
-            while in_turn and self.may_hand_off(task):
+            has_key = not (task.category.ordered and task.key) or (yield from self.wait_for_key(task, due))
+            while has_key and self.may_hand_off(task):
                 node = self.node_for(task)
                 if node is None or not self.may_go_to(task, node.store) or late and not node.shows_headroom():
                     break
                 queue = self.queue_of(node, task.volume)
-                if first:
-                    first, state.shards[node.store.shard] = False, None
+                if first_try:
+                    first_try, state.shards[node.store.shard] = False, None
                     rate = task.volume.plan.rate / SECOND * state.use_share(self.usual) / len(state.shards)
                     node.record_demand(queue, task.units, rate)
-                latest = aim - int(min(node.expected_latency(task.units) * MARGIN, (aim - now) * MOST_MARGIN))
+                latest = due - int(
+                    min(node.expected_latency(task.units) * LATENCY_MARGIN, (due - now) * MAX_MARGIN_SHARE)
+                )
                 wait = self.limit_wait(task, state)
                 if self.runtime.now + wait >= latest:
                     break
@@ -173,7 +203,7 @@
                     node.take_back(task)
                     continue
                 self.spend(task, queue, state)
-                sent, outcome = self.runtime.now, (yield HandOff(node.store, self.timeout(task, node, aim)))
+                sent, outcome = self.runtime.now, (yield HandOff(node.store, self.timeout(task, node, due)))
                 assert isinstance(outcome, Outcome)
                 node.record_outcome(task, outcome)
                 if outcome.kind is OutcomeKind.DELIVERED and (
@@ -201,27 +231,27 @@
             state.waiting.pop(task, None)
             self.leave_key(task)
 
-    def timeout(self, task: Task, node: Node, aim: int) -> int:
+    def timeout(self, task: Task, node: Node, due: int) -> int:
         """After what time a harmless task goes again, if answers are lost and it can be in time, else 0."""
-        now, may, sure = (
+        now, allowed, idempotent = (
             self.runtime.now,
             self.config.allowed,
             task.category.repeat is RepeatSafety.IDEMPOTENT,
         )
         if (
             task.hand_offs != 1
-            or not (sure and (may.cancel or may.copies))
+            or not (idempotent and (allowed.cancel or allowed.copies))
             or now >= self.delays.losses_until
         ):
             return 0
         patience = max(
             LOST_AFTER_LATENCIES * (lag := int(node.expected_latency(task.units))), self.soft_limit // 2
         )
-        return patience if now + patience + lag * MARGIN < aim else 0
+        return patience if now + patience + lag * LATENCY_MARGIN < due else 0
 
-    def aim_of(self, task: Task) -> int:
+    def soft_deadline(self, task: Task) -> int:
         """When the soft limit ends, from the first try: less time left than usual tells of an earlier one."""
-        times = self.patience.setdefault(task.category, deque(maxlen=SAMPLE_COUNT))
+        times = self.time_left.setdefault(task.category, deque(maxlen=SAMPLE_COUNT))
         times.append(task.deadline - self.runtime.now)
         age = max(times) - times[-1] if times[-1] >= task.category.soft_limit else 0
         return min(self.runtime.now + task.category.soft_limit - age, task.deadline)
@@ -231,18 +261,18 @@
             queue = node.queues[volume] = VolumeQueue(node, node.queue_count, volume)
             node.queue_count += 1
             queue.set_reserve(
-                queue.total_reserve / self.state_of(volume).gateways / max(len(self.by_shard), 1)
+                queue.total_reserve / self.volume_state(volume).gateways / max(len(self.by_shard), 1)
             )
         return node.queues[volume]
 
-    def state_of(self, volume: Volume) -> VolumeState:
+    def volume_state(self, volume: Volume) -> VolumeState:
         if volume.state is None:
             plan, gateways = volume.plan, volume.gateways if volume.gateways >= 1 else self.config.gateways
             shares = (
                 self.runtime.shares if gateways == self.config.gateways else EvenShares()
             )  # views divide among all
             limit, depth = plan.limit / SECOND / gateways, plan.limit_depth / gateways
-            volume.state = VolumeState(gateways, limit, depth, self.born, shares)
+            volume.state = VolumeState(gateways, limit, depth, self.started_at, shares)
         return volume.state
 
     def spend(self, task: Task, queue: VolumeQueue, state: VolumeState) -> None:
@@ -259,51 +289,51 @@
     def limit_wait(self, task: Task, state: VolumeState) -> int:
         """Tenths until the limit has a first hand-off's units. A part starts empty, in a new fleet full."""
         now = self.runtime.now
-        if not state.started and self.new is not None and now >= self.born + ASK:
+        if not state.started and self.fleet_is_new is not None and now >= self.started_at + PEER_REPLY_TIME:
             state.started = True
-            state.fill(now, state.depth if self.new else 0.0)
+            state.fill(now, state.depth if self.fleet_is_new else 0.0)
         if task.hand_offs or not state.limit:
             return 0
         state.fill(now)
         wait = 0 if state.units >= task.units else int((task.units - state.units) / state.limit) + 1
-        return min(wait, self.ask(task.volume, state) or wait) if wait else 0
+        return min(wait, self.ask_peers(task.volume, state) or wait) if wait else 0
 
-    def ask(self, volume: Volume, state: VolumeState) -> int:
+    def ask_peers(self, volume: Volume, state: VolumeState) -> int:
         """Ask some gateways of the volume for units, all while some are unknown; how long that may take."""
         now = self.runtime.now
         if not self.config.allowed.peers or state.gateways <= 1:
             return 0
         if now >= state.next_ask_at:
             state.ask_interval = (
-                ASK if 2 * state.received >= state.wanted else min(2 * state.ask_interval, SECOND)
+                PEER_REPLY_TIME if 2 * state.received >= state.wanted else min(2 * state.ask_interval, SECOND)
             )
             state.asked_at, state.next_ask_at = now, now + state.ask_interval
             state.received, state.wanted = 0.0, state.depth - state.units
-            some: list[int | None] = [*self.chance.sample([*state.peers], min(ASKED, len(state.peers)))]
+            some: list[int | None] = [*self.rng.sample([*state.peers], min(PEERS_PER_ASK, len(state.peers)))]
             if len(state.peers) < state.gateways - 1 and now >= state.next_broadcast_at:
-                some, state.next_broadcast_at = [None], now + ALL
+                some, state.next_broadcast_at = [None], now + BROADCAST_INTERVAL
             for peer in some:
                 each = state.wanted / (state.gateways - 1 if peer is None else len(some))
                 self.runtime.send_to_peer(peer, PeerMessage(volume, each, False))
-        return max(state.asked_at + ASK - now, 0)
+        return max(state.asked_at + PEER_REPLY_TIME - now, 0)
 
-    def on_peer_message(self, peer: int, word: PeerMessage) -> None:
+    def on_peer_message(self, peer: int, message: PeerMessage) -> None:
         """Another gateway gives units, asks for some (half at most; none where no task came) or greets."""
-        if word.volume is None:
-            if not (long := self.runtime.now >= self.born + NEW):
-                self.new = self.new is not False and not word.units
-            if not word.is_grant:
-                self.runtime.send_to_peer(peer, PeerMessage(None, float(long), True))
-        elif (state := word.volume.state) is not None:
-            state.fill(self.runtime.now, word.units if word.is_grant else 0.0)
-            gift = min(word.units, max(state.units, 0.0) / 2)
-            if word.is_grant:
-                state.received += word.units
+        if message.volume is None:
+            if not (long_up := self.runtime.now >= self.started_at + NEW_FLEET_WINDOW):
+                self.fleet_is_new = self.fleet_is_new is not False and not message.units
+            if not message.is_grant:
+                self.runtime.send_to_peer(peer, PeerMessage(None, float(long_up), True))
+        elif (state := message.volume.state) is not None:
+            state.fill(self.runtime.now, message.units if message.is_grant else 0.0)
+            grant = min(message.units, max(state.units, 0.0) / 2)
+            if message.is_grant:
+                state.received += message.units
                 for task in state.waiting:
                     self.runtime.wake(task, WakeReason.RECHECK)
-            elif gift >= 1 or peer not in state.peers:
-                state.units -= gift
-                self.runtime.send_to_peer(peer, PeerMessage(word.volume, gift, True))
+            elif grant >= 1 or peer not in state.peers:
+                state.units -= grant
+                self.runtime.send_to_peer(peer, PeerMessage(message.volume, grant, True))
             state.peers[peer] = None
 
     def may_hand_off(self, task: Task) -> bool:
@@ -324,23 +354,23 @@
 
     def final_answer(self, task: Task) -> TaskAction:
         """The answer of a task given up on: a nack wherever its promise holds."""
-        allowed, of = self.config.allowed, task.category
-        sure = of.repeat is RepeatSafety.IDEMPOTENT or (
-            of.repeat is RepeatSafety.DEDUPLICATED and of.scope is DeduplicationScope.ALL
+        allowed, category = self.config.allowed, task.category
+        repeat_is_safe = category.repeat is RepeatSafety.IDEMPOTENT or (
+            category.repeat is RepeatSafety.DEDUPLICATED and category.scope is DeduplicationScope.ALL
         )
         retry_after = min(self.soft_limit, allowed.longest_retry_after) if allowed.retry_after else 0
-        return BreakOff() if task.may_have_run and not sure else Nack(retry_after)
+        return BreakOff() if task.may_have_run and not repeat_is_safe else Nack(retry_after)
 
-    def turn_on_key(self, task: Task, aim: int) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
+    def wait_for_key(self, task: Task, due: int) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
         """Wait until the task is first on its key and the key has rested; False if that comes too late."""
         queue = self.keys.setdefault(
-            task.key, KeyQueue(self.born + self.config.key_rest)
+            task.key, KeyQueue(self.started_at + self.config.key_rest)
         )  # of an earlier life
         queue.tasks.append(task)
         while queue.tasks[0] is not task or self.runtime.now < queue.rests_until:
-            if self.runtime.now >= aim:
+            if self.runtime.now >= due:
                 return False
-            yield Wait(min(queue.rests_until, aim) if queue.tasks[0] is task else aim)
+            yield Wait(min(queue.rests_until, due) if queue.tasks[0] is task else due)
         return True
 
     def leave_key(self, task: Task) -> None:
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import PLAN, heard, outcome, scheduler, store, task
+from helpers import PLAN, add_samples, outcome, scheduler, store, task
 
 from tansykeel.brain.cold import DEMAND_SHARE, SlowStart
 from tansykeel.interface import (
@@ -62,7 +62,7 @@
     brain, runtime = scheduler([at], slow_start=replace(COLD, always_safe=0.0))
     node = brain.nodes[at]
     if clear:
-        heard(node, 100, 100)
+        add_samples(node, 100, 100)
     node.slow_start.admits(at, runtime.now, 8.0, 0)
     node.in_flight = 99  # nothing leaves
     earned = asked_of(brain, runtime, node, Volume("v", replace(PLAN, rate=100.0)))
@@ -79,7 +79,7 @@
     node.in_flight = 99  # nothing leaves
     earned = 0.0
     for _ in range(asked_per_second):
-        heard(node, 100)
+        add_samples(node, 100)
         node.slow_start.credit = 0.0
         earned += asked_of(brain, runtime, node, volume, units)
         runtime.now += COLD.span // asked_per_second
@@ -145,7 +145,7 @@
     next(run)
     assert node.held_count == 1 and runtime.now + 100 < node.slow_start.next_room_at < runtime.now + 1_000
     assert (
-        min(moment for moment, call in runtime.alarms if call == node.run_scheduled_round)
+        min(moment for moment, call in runtime.calls if call == node.run_scheduled_round)
         == node.slow_start.next_room_at
     )
     runtime.now = node.slow_start.next_room_at
@@ -194,7 +194,7 @@
     at = store()
     brain, runtime = scheduler([at], slow_start=SlowStartRule(0.2, 180_000, 2.5, 10_000, 8.0))
     node = brain.nodes[at]
-    heard(node, 100, 100, 100)
+    add_samples(node, 100, 100, 100)
     for how in (OutcomeKind.NO_CONNECTION, OutcomeKind.NO_CONNECTION):
         sent = task(runtime)
         node.sent_at[sent] = runtime.now
--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import PLAN, outcome, scheduler, store, task, turn
+from helpers import PLAN, grant_turn, outcome, scheduler, store, task
 
 from tansykeel.brain.volumes import RetryBudget, VolumeState
 from tansykeel.interface import (
@@ -66,7 +66,7 @@
 )
 def test_a_reserve_is_split_by_the_use_that_answers_tell_of(hosts, told, part):
     brain, _ = scheduler([])
-    state = brain.state_of(Volume("v", PLAN, hosts))
+    state = brain.volume_state(Volume("v", PLAN, hosts))
     for here, there in told:
         state.record_use(
             here, Outcome(OutcomeKind.DELIVERED, 100, True, used_elsewhere=there), PLAN, state.use_reported_at
@@ -78,7 +78,7 @@
 def test_where_nodes_do_not_tell_the_meter_gives_this_gateways_part(used, part):
     """Two units a second here, of ten that the plan is sized for times what the meter says."""
     brain, _ = scheduler([])
-    state = brain.state_of(Volume("v", PLAN, 10.0))
+    state = brain.volume_state(Volume("v", PLAN, 10.0))
     for _ in range(1, 40):
         state.record_use(
             2.0, Outcome(OutcomeKind.DELIVERED, 100, True, plan_use_percent=used), PLAN, state.use_reported_at + 10_000
@@ -94,14 +94,14 @@
     """Schedulers of one volume's gateways whose words reach each other, and what they have of its limit."""
     made = [scheduler([store()], gateways=len(numbers), gateway_index=number, allowed=TALK) for number in numbers]
     volumes = [Volume("v", LIMITED, float(len(numbers))) for _ in numbers]
-    return made, volumes, [brain.state_of(volume) for (brain, _), volume in zip(made, volumes, strict=True)]
+    return made, volumes, [brain.volume_state(volume) for (brain, _), volume in zip(made, volumes, strict=True)]
 
 
 def pass_on(made, volumes):
     """Deliver what was said; what is said to that is left for the next call."""
-    said = [runtime.told for _, runtime in made]
+    said = [runtime.sent_messages for _, runtime in made]
     for _, runtime in made:
-        runtime.told = []
+        runtime.sent_messages = []
     for me, words in enumerate(said):
         for peer, word in words:
             for number in range(len(made)) if peer is None else [peer]:
@@ -138,14 +138,14 @@
     """Guards against a gateway that gives of a part that it does not have."""
     brain, runtime = scheduler([store()], allowed=TALK)
     brain.on_peer_message(1, PeerMessage(Volume("v", LIMITED, 2.0), 5.0, False))
-    assert runtime.told == []
+    assert runtime.sent_messages == []
 
 
 @pytest.mark.parametrize("peers, hosts", [(False, 3.0), (True, 1.0)])
 def test_nobody_is_asked_where_gateways_do_not_talk_or_there_is_one(peers, hosts):
     brain, runtime = scheduler([store()], allowed=replace(TALK, peers=peers))
     run = brain.serve(task(runtime, units=8.0, volume=Volume("v", LIMITED, hosts)))
-    assert isinstance(next(run), Nack) and runtime.told == []
+    assert isinstance(next(run), Nack) and runtime.sent_messages == []
 
 
 GREETING, YOUNG, OLD = PeerMessage(None, 0.0, False), PeerMessage(None, 0.0, True), PeerMessage(None, 1.0, True)
@@ -171,7 +171,7 @@
     for word in words:
         brain.on_peer_message(1, word)
     runtime.now += after
-    brain.limit_wait(task(runtime, volume=volume), brain.state_of(volume))
+    brain.limit_wait(task(runtime, volume=volume), brain.volume_state(volume))
     assert volume.state.units == pytest.approx(units, abs=0.01)
 
 
@@ -181,7 +181,7 @@
     runtime.now += age
     brain.on_peer_message(3, GREETING)
     brain.on_peer_message(3, YOUNG)  # an answer is not answered
-    assert runtime.told == [(3, answer)]
+    assert runtime.sent_messages == [(3, answer)]
 
 
 def test_while_little_comes_gateways_are_asked_ever_more_seldom():
@@ -193,9 +193,9 @@
     for _ in range(2_000):
         runtime.now += 20
         states[0].units = 0.0
-        if brain.ask(volumes[0], states[0]) and runtime.told:
+        if brain.ask_peers(volumes[0], states[0]) and runtime.sent_messages:
             times.append(runtime.now)
-            runtime.told.clear()
+            runtime.sent_messages.clear()
     gaps = [later - sooner for sooner, later in zip(times, times[1:], strict=False)]
     assert gaps[0] < gaps[2] < gaps[-1] == 10_000
 
@@ -204,10 +204,10 @@
     plan = replace(PLAN, limit=1_000.0, limit_depth=100.0)
     brain, runtime = scheduler([store()], plans=(plan,))
     volume = Volume("v", plan, 1.0)
-    state = brain.state_of(volume)
+    state = brain.volume_state(volume)
     runtime.now += 100_000
     run = brain.serve(task(runtime, units=8.0, volume=volume))
-    turn(run, runtime, brain)
+    grant_turn(run, runtime, brain)
     assert state.units == 92.0
     run.send(outcome(OutcomeKind.ERROR))
     run.send(WakeReason.GRANTED)
@@ -218,7 +218,7 @@
     plan = replace(PLAN, limit=1.0, limit_depth=16.0)
     brain, runtime = scheduler([store()], plans=(plan,))
     volume, node = Volume("v", plan, 1.0), next(iter(brain.nodes.values()))
-    state = brain.state_of(volume)
+    state = brain.volume_state(volume)
     state.units, node.in_flight, node.tokens_out = 10.0, 1, 1e9
     runs = [brain.serve(task(runtime, units=8.0, volume=volume)) for _ in range(2)]
     assert all(isinstance(next(run), Wait) for run in runs)
--- a/tests/brain/test_rates.py
+++ b/tests/brain/test_rates.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import AT_MOST_ONCE, IDEMPOTENT, PLAN, heard, outcome, scheduler, store, task
+from helpers import AT_MOST_ONCE, IDEMPOTENT, PLAN, add_samples, outcome, scheduler, store, task
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -41,7 +41,7 @@
     """Guards against a node whose lost answers pass for slowness: its rate fell, its tasks were refused."""
     at = store()
     brain, runtime = scheduler([at])
-    node, state = brain.nodes[at], brain.state_of(Volume("v", PLAN, 1.0))
+    node, state = brain.nodes[at], brain.volume_state(Volume("v", PLAN, 1.0))
     node.rate = 1.0
     first, second = task(runtime), task(runtime)
     for out in (first, second):
@@ -76,7 +76,7 @@
     """Guards against a second copy: what timed out is still out on its open connection."""
     at = store()
     brain, runtime = scheduler([at], allowed=AllowedActions(3, False, 0, copies, cancel, False))
-    heard(brain.nodes[at], 100, 100, 100)
+    add_samples(brain.nodes[at], 100, 100, 100)
     brain.delays.losses_until, sent = runtime.now + 1, task(runtime)
     sent.hand_offs = 1
     assert (brain.timeout(sent, brain.nodes[at], runtime.now + 2_500) > 0) is soon
@@ -96,7 +96,7 @@
 ):
     at = store()
     brain, runtime = scheduler([at])
-    heard(brain.nodes[at], 100, 100, 100)
+    add_samples(brain.nodes[at], 100, 100, 100)
     brain.delays.losses_until = runtime.now + lost
     sent = task(runtime, category=category)
     sent.hand_offs = hand_offs
@@ -140,7 +140,7 @@
     at = store()
     brain, runtime = scheduler([at])
     node = brain.nodes[at]
-    heard(node, *[100] * 8, *[9_000] * 8)
+    add_samples(node, *[100] * 8, *[9_000] * 8)
     assert node.headroom() < 0
     runtime.now += 20_001
     assert node.headroom() > 0
@@ -175,7 +175,7 @@
     node.in_flight, node.rate = out, node.min_rate
     brain.queue_of(node, asking.volume).tokens = debt
     if lag is not None:
-        heard(node, *[100] * 8, *[100 + lag] * 4)
+        add_samples(node, *[100] * 8, *[100 + lag] * 4)
         brain.delays.record(node.store, runtime.now, node.queueing_delay())
     node.enqueue(node.queues[asking.volume], asking)
     assert len(runtime.woken) == turns
@@ -223,10 +223,10 @@
     brain, runtime = scheduler([at])
     node = brain.nodes[at]
     quick = int(brain.soft_limit * 0.3 / 10)
-    heard(node, *[quick] * 24)
+    add_samples(node, *[quick] * 24)
     for _ in range(2_000):
         runtime.now += 100
-        heard(node, quick)
+        add_samples(node, quick)
         node.starved = True
         node.accrue()
     assert node.rate == pytest.approx(24 * brain.usual / quick, rel=0.01)
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -5,7 +5,18 @@
 from dataclasses import replace
 
 import pytest
-from helpers import AT_MOST_ONCE, DEDUPLICATED, IDEMPOTENT, facts, heard, outcome, scheduler, store, task, turn
+from helpers import (
+    AT_MOST_ONCE,
+    DEDUPLICATED,
+    IDEMPOTENT,
+    add_samples,
+    facts,
+    grant_turn,
+    outcome,
+    scheduler,
+    store,
+    task,
+)
 
 from tansykeel.brain import Scheduler
 from tansykeel.interface import (
@@ -26,7 +37,7 @@
     at = store()
     brain, runtime = scheduler([at])
     run = brain.serve(task(runtime))
-    want = turn(run, runtime, brain)
+    want = grant_turn(run, runtime, brain)
     assert isinstance(want, HandOff) and want.store is at
     with pytest.raises(StopIteration):
         run.send(outcome(OutcomeKind.DELIVERED))
@@ -49,7 +60,7 @@
 def test_after_an_outcome_only_what_is_legal_follows(how, kind, category):
     brain, runtime = scheduler([store()])
     run = brain.serve(task(runtime, category=category))
-    turn(run, runtime, brain)
+    grant_turn(run, runtime, brain)
     assert isinstance(run.send(outcome(how)), kind)
 
 
@@ -139,7 +150,7 @@
     brain, runtime = scheduler([store()], retry_budget=RetryBudgetRule(span=50_000, free=1.0, share=0.0))
     runtime.now += 60_000
     run, node = brain.serve(task(runtime)), next(iter(brain.nodes.values()))
-    turn(run, runtime, brain)
+    grant_turn(run, runtime, brain)
     assert isinstance(run.send(outcome(OutcomeKind.ERROR)), Wait)
     brain.retry_budget.retries.append(runtime.now)
     runtime.now += 200
@@ -154,7 +165,7 @@
     runtime.now += 700
     first, second = task(runtime, category=ordered, key=9), task(runtime, category=ordered, key=9)
     run, other = brain.serve(first), brain.serve(second)
-    turn(run, runtime, brain)
+    grant_turn(run, runtime, brain)
     assert isinstance(next(other), Wait)
     runtime.woken.clear()
     with pytest.raises(StopIteration):
@@ -166,15 +177,15 @@
 def test_failed_calls_for_the_list_are_spaced_out_within_what_counts_as_told():
     """The list counts as told 6 s after it could be reached: half of it is left for a call that hangs and the next."""
     brain, runtime = scheduler([], listing=StoreListRule(True, 100_000, 10_000))
-    assert runtime.watches == 1
+    assert runtime.list_requests == 1
     for _ in range(40):
         brain.list_failed()
-    times = [at - runtime.now for at, call in runtime.alarms if call == runtime.request_store_list]
+    times = [at - runtime.now for at, call in runtime.calls if call == runtime.request_store_list]
     assert len(times) == 40 and 5_000 <= times[0] <= 15_000
     assert min(times[1:]) >= 10_000 and 25_000 < max(times) <= 30_000
     brain.list_changed([], confirmed=True)
     brain.list_failed()
-    assert runtime.alarms[-1][0] - runtime.now <= 15_000
+    assert runtime.calls[-1][0] - runtime.now <= 15_000
 
 
 def test_a_pushed_list_that_ended_is_tried_anew_before_a_drain_s_grace_is_over():
@@ -182,7 +193,7 @@
     brain, runtime = scheduler([], listing=StoreListRule(False, 0, 5_000))
     for _ in range(8):
         brain.list_failed()
-    times = [at - runtime.now for at, call in runtime.alarms if call == runtime.request_store_list]
+    times = [at - runtime.now for at, call in runtime.calls if call == runtime.request_store_list]
     assert len(times) == 8 and min(times) >= 250 and max(times) <= 750
 
 
@@ -201,8 +212,8 @@
     brain, runtime = scheduler([store()])
     usual, further = task(runtime), task(runtime)
     further.deadline = runtime.now + remaining
-    assert brain.aim_of(usual) == runtime.now + 2_500
-    assert brain.aim_of(further) == runtime.now + aim
+    assert brain.soft_deadline(usual) == runtime.now + 2_500
+    assert brain.soft_deadline(further) == runtime.now + aim
 
 
 @pytest.mark.parametrize("wait, want", [(0, Wait), (5_000, Nack)])
@@ -212,7 +223,7 @@
     brain.delays.record(next(iter(brain.nodes)), runtime.now, wait)
     late, node = task(runtime), next(iter(brain.nodes.values()))
     late.deadline = runtime.now + 5_000
-    heard(node, *[100] * 8, *[100 + wait] * 4)
+    add_samples(node, *[100] * 8, *[100 + wait] * 4)
     assert isinstance(next(brain.serve(late)), want)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -42,25 +42,25 @@
     def __init__(self) -> None:
         self.now, self.shares = 1_000_000, EvenShares()
         self.woken: list[tuple[Task, WakeReason]] = []
-        self.alarms: list[tuple[int, Callable[[], None]]] = []
-        self.watches = 0
-        self.notes: list[str] = []
-        self.told: list[tuple[int | None, PeerMessage]] = []
+        self.calls: list[tuple[int, Callable[[], None]]] = []
+        self.list_requests = 0
+        self.log_lines: list[str] = []
+        self.sent_messages: list[tuple[int | None, PeerMessage]] = []
 
     def wake(self, task: Task, reason: WakeReason) -> None:
         self.woken.append((task, reason))
 
     def call_at(self, at: int, call: Callable[[], None]) -> None:
-        self.alarms.append((at, call))
+        self.calls.append((at, call))
 
     def request_store_list(self) -> None:
-        self.watches += 1
+        self.list_requests += 1
 
     def send_to_peer(self, peer: int | None, message: PeerMessage) -> None:
-        self.told.append((peer, message))
+        self.sent_messages.append((peer, message))
 
     def log(self, text: str) -> None:
-        self.notes.append(text)
+        self.log_lines.append(text)
 
 
 def facts(**changes: Any) -> SchedulerConfig:
@@ -113,12 +113,12 @@
     return Outcome(how, lag, how is OutcomeKind.DELIVERED if over is None else over)
 
 
-def heard(node, *lags):
+def add_samples(node, *lags):
     for lag in lags:
         node.add_sample(lag, 2.0)
 
 
-def turn(run, runtime, brain):
+def grant_turn(run, runtime, brain):
     """Start a task and give it its turn; returns what it then wants."""
     assert isinstance(next(run), Wait)
     runtime.now += 200
