--- a/tansykeel/brain/rates.py
+++ b/tansykeel/brain/rates.py
@@ -1,4 +1,4 @@
-"""What is measured of a store: the lags of its last answers, its queue, and the rate that it bears."""
+"""Measurements of a store: latencies of its last answers, its queueing delay, the rate that it bears."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -8,54 +8,49 @@
 
 from .cold import SECOND
 
-TARGET_SHARE = 0.3  # part of the tightest soft limit that work may spend at a node
-MIN_FLEET_RATE = 4  # the least rates of all gateways together, in usual tasks within a tightest soft limit
-RATE_OVER_USE, QUEUE_DRAIN_RATE = (
-    4,
-    0.5,
-)  # times its use that a falling rate starts from; time that a queue loses in a time
-SAMPLE_LIFETIME, OVERLOAD_LIFETIME = (
-    SECOND,
-    2 * SECOND,
-)  # samples that tell of now; of an overload, and rates for new nodes
-SAMPLE_COUNT, LATEST_SAMPLES = (
-    24,
-    4,
-)  # outcomes that a node's figures are worked out from; those that tell of its queue
+TARGET_SHARE = 0.3  # latency target of a task at a node, as a fraction of the tightest soft limit
+MIN_FLEET_RATE = 4  # least rate of all gateways together, in usual tasks within a tightest soft limit
+# A falling rate starts from so many times its use; a queue once seen loses so much delay per unit of time.
+RATE_OVER_USE, QUEUE_DRAIN_RATE = 4, 0.5
+# How long samples tell of the present; how long those of an overload do, and rates count for new nodes.
+SAMPLE_LIFETIME, OVERLOAD_LIFETIME = SECOND, 2 * SECOND
+# Outcomes that a node's figures are computed from; those that give its present queueing delay.
+SAMPLE_COUNT, LATEST_SAMPLES = 24, 4
 
 
 def remaining_delays(seen: Iterable[tuple[int, float]], now: int, limit: int) -> list[float]:
-    """What is left of queues seen some time ago: a short one drains, one past the tightest limit stays."""
+    """What remains now of queueing delays (when, how long) seen before, without those that are out of date.
+
+    A queue within the limit is taken to drain. One past it is an overload: it counts in full, and for longer.
+    """
     return [
-        wait if wait > limit else max(wait - QUEUE_DRAIN_RATE * (now - at), 0.0)
-        for at, wait in seen
-        if now - at <= (OVERLOAD_LIFETIME if wait > limit else SAMPLE_LIFETIME)
+        delay if delay > limit else max(delay - QUEUE_DRAIN_RATE * (now - at), 0.0)
+        for at, delay in seen
+        if now - at <= (OVERLOAD_LIFETIME if delay > limit else SAMPLE_LIFETIME)
     ]
 
 
 class QueueDelays:
-    """When each node was last heard of, and its queueing then."""
+    """The queueing delay of each node when it last answered; shared by all nodes of a gateway."""
 
     def __init__(self) -> None:
-        self.by_store: dict[Store, tuple[int, float]] = {}  # the newest last
-        self.newest, self.version, self._median, self.losses_until = (
-            -OVERLOAD_LIFETIME,
-            0,
-            (-1, -1, 0.0),
-            0,
-        )  # lost: until when
+        self.by_store: dict[Store, tuple[int, float]] = {}  # when, delay; the newest last
+        # `version` counts changes; `_median` holds the last result and what it was computed for. Until
+        # `losses_until` an answer that does not come may have been lost on its way.
+        self.newest, self.version, self._median, self.losses_until = -OVERLOAD_LIFETIME, 0, (-1, -1, 0.0), 0
 
     def record(self, store: Store, now: int, delay: float) -> None:
+        """Note a node's queueing delay, seen now."""
         self.by_store.pop(store, None)
         self.by_store[store], self.newest, self.version = (now, delay), now, self.version + 1
 
     def median(self, now: int, limit: int) -> float:
-        """The lower middle of what was heard lately, so that one sick node does not speak for the others."""
+        """The lower median of the recent delays, so that one slow node does not speak for the others."""
         if self._median[:2] != (now, self.version):
-            seen = takewhile(
+            recent = takewhile(
                 lambda sample: sample[0] >= now - OVERLOAD_LIFETIME, reversed(self.by_store.values())
             )
-            delays = sorted(remaining_delays(seen, now, limit))
+            delays = sorted(remaining_delays(recent, now, limit))
             self._median = now, self.version, delays[(len(delays) - 1) // 2] if len(delays) > 1 else 0.0
         return self._median[2]
 
@@ -74,39 +69,41 @@
         delays: QueueDelays,
         gateways: int,
     ) -> None:
+        # `usual` and `largest_task` are units; `soft_limit` is the tightest of all categories.
         self.store, self.runtime, self.delays = store, runtime, delays
         self.rate, self.largest_task, self.usual, self.soft_limit = rate, largest_task, usual, soft_limit
         self.min_rate, self.last_heard = MIN_FLEET_RATE * usual / soft_limit / max(gateways, 1), runtime.now
-        self.sent_at: dict[Task, int] = {}  # hand-offs out, in order, with their times
+        self.sent_at: dict[Task, int] = {}  # when each task in flight was handed off, in that order
         self.grants: deque[tuple[int, float]] = deque(maxlen=SAMPLE_COUNT)  # the last hand-offs: when, tokens
-        self.samples: deque[tuple[int, int, float]] = deque(maxlen=SAMPLE_COUNT)  # when, lag, units
-        self.successes: deque[bool] = deque(maxlen=SAMPLE_COUNT)  # whether each outcome was a good one
-        self.version, self._delay_inputs, self._delay, self.unit_time = (
-            0,
-            (-1, -1, -1),
-            0.0,
-            0.0,
-        )  # what is worked out once
-        self.resting_until = self.next_decrease_at = self.failures_in_row = self.answered_sent = (
-            0  # proof: when the last answered was sent
-        )
-
-    def add_sample(self, lag: int, units: float) -> None:
-        self.samples.append((self.runtime.now, lag, units))
+        self.samples: deque[tuple[int, int, float]] = deque(maxlen=SAMPLE_COUNT)  # when, latency, units
+        self.successes: deque[bool] = deque(maxlen=SAMPLE_COUNT)  # whether each outcome was a delivery
+        # `version` counts changes; `_delay` is cached for the inputs beside it.
+        self.version, self._delay_inputs, self._delay, self.unit_time = 0, (-1, -1, -1), 0.0, 0.0
+        # `answered_sent`: when the newest hand-off was sent of those that were answered.
+        self.resting_until = self.next_decrease_at = self.failures_in_row = self.answered_sent = 0
+
+    def add_sample(self, latency: int, units: float) -> None:
+        """Take in the latency of a hand-off."""
+        self.samples.append((self.runtime.now, latency, units))
         self.version += 1
-        times = sorted([lag / units for _, lag, units in self.samples])
-        self.unit_time = times[len(times) // 4]  # tenths that a unit takes here when nothing waits
+        times = sorted([latency / units for _, latency, units in self.samples])
+        self.unit_time = times[len(times) // 4]  # time for one unit when nothing queues: the first quartile
 
     def queueing_delay(self) -> float:
-        """Time that the last hand-offs waited; without fresh ones the middle of others (design: average)."""
+        """How long the last hand-offs queued; without fresh samples the median of other nodes.
+
+        The paper uses the average there.
+        """
         now = self.runtime.now
-        if self._delay_inputs != (seen := (now, self.version, self.delays.version)):
-            self._delay_inputs = seen
-            # Silence tells of a node that stands still; where a later answer came, the one missing is lost.
+        if self._delay_inputs != (inputs := (now, self.version, self.delays.version)):
+            self._delay_inputs = inputs
+            # A node from which nothing comes back may stand still. A hand-off that a later one overtook does
+            # not count: its answer is lost.
             first = next((sent for sent in self.sent_at.values() if sent >= self.answered_sent), now)
             silence = now - max(self.last_heard, first)
             samples = [
-                (at, lag - units * self.unit_time) for at, lag, units in list(self.samples)[-LATEST_SAMPLES:]
+                (at, latency - units * self.unit_time)
+                for at, latency, units in list(self.samples)[-LATEST_SAMPLES:]
             ]
             delays = remaining_delays(samples, now, self.soft_limit)
             delay = sum(delays) / len(delays) if delays else self.delays.median(now, self.soft_limit)
@@ -114,24 +111,33 @@
         return self._delay
 
     def expected_latency(self, units: float) -> float:
+        """The latency of a task of this size if it was handed off now."""
         return self.queueing_delay() + units * self.unit_time
 
     def headroom(self) -> float:
-        """How far the lag of a usual task stays under its target, as a part of it."""
+        """How far a usual task's latency is under its target, as a fraction of it; negative if it is over."""
         return 1 - self.expected_latency(self.usual) / (self.soft_limit * TARGET_SHARE)
 
     def shows_headroom(self) -> bool:
-        """Whether a fresh sample, of this node or another, shows a lag under its target."""
+        """Whether a fresh sample, of this node or another, shows a latency under its target."""
         return self.delays.newest >= self.runtime.now - SAMPLE_LIFETIME and self.headroom() > 0
 
     def token_bound(self) -> float:
-        """Tokens that may be out; one largest task, but not where many gateways' would keep a queue full."""
-        largest_task = self.largest_task if self.headroom() >= 0 and not self.failures_in_row else 0.0
-        return max(self.rate * self.soft_limit * TARGET_SHARE, largest_task)
+        """Tokens that may be in flight at the node.
+
+        At least one largest task, except while the latency is over its target or the last hand-offs failed:
+        the largest tasks of many gateways would keep its queue full.
+        """
+        least = self.largest_task if self.headroom() >= 0 and not self.failures_in_row else 0.0
+        return max(self.rate * self.soft_limit * TARGET_SHARE, least)
+
+    def decrease_rate(self, fraction: float, pause: int) -> None:
+        """Lower the rate by a fraction, and then not again for `pause`, in which the effect can show.
 
-    def decrease_rate(self, part: float, rest: int) -> None:
-        """Lower the rate, once in the time that a step shows, from a few times its use: all must feel it."""
+        It falls from a few times what was used lately at most: a gateway that uses a small part of its rate
+        would not slow down otherwise, and the sum over all gateways is the load.
+        """
         if self.runtime.now >= self.next_decrease_at:
             used = sum(cost for at, cost in self.grants if at >= self.runtime.now - SECOND) / SECOND
-            self.rate = max(min(self.rate, RATE_OVER_USE * used) * (1 - part), self.min_rate)
-            self.next_decrease_at = self.runtime.now + rest
+            self.rate = max(min(self.rate, RATE_OVER_USE * used) * (1 - fraction), self.min_rate)
+            self.next_decrease_at = self.runtime.now + pause
