--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -49,7 +49,7 @@
 )
 def test_a_limit_starts_empty_and_never_gives_more_than_this_gateways_part(units, now, wait):
     brain, runtime = scheduler([])
-    state = VolumeState(1.0, limit=0.01, depth=20.0, born=runtime.now, shares=runtime.shares)
+    state = VolumeState(1.0, limit=0.01, depth=20.0, started_at=runtime.now, shares=runtime.shares)
     runtime.now += now
     assert brain.limit_wait(task(runtime, units=units), state) == wait
 
@@ -237,7 +237,7 @@
         def accrued(self, since, now):
             return (now - since) / 2, 0.5
 
-    state = VolumeState(1.0, limit=0.01, depth=20.0, born=0, shares=Half())
+    state = VolumeState(1.0, limit=0.01, depth=20.0, started_at=0, shares=Half())
     state.fill(1_000)
     assert state.units == 5.0
     state.fill(100_000)
