--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -1,4 +1,9 @@
-"""Lines and slices: rounds that deal a store's token rate to the volumes that hold tasks for it (ReFlex)."""
+"""Queues and rounds: how a store's token rate is divided among the volumes that hold tasks for it.
+
+It follows ReFlex (ASPLOS 2017), with volumes as tenants and stores ("nodes") as devices. Volumes with a
+reserve are served first, from a balance that may run a deficit. The others get equal slices of the remaining
+rate, round-robin, and draw on a bucket of donated tokens. docs/design.md tells what was changed and why.
+"""
 
 from __future__ import annotations
 
@@ -11,55 +16,36 @@
 from .cold import DEMAND_SHARE, ROUND, SECOND, SlowStart
 from .rates import SAMPLE_LIFETIME, TARGET_SHARE, QueueDelays, StoreMeasurements
 
-BUCKET_LIFETIME, MIN_SLICE_SHARE = (
-    SECOND,
-    0.1,
-)  # when the bucket is emptied; part of the rate that slices always share (design)
-DEFICIT_LIMIT, DONATED_SHARE = (
-    50.0,
-    0.9,
-)  # what a reserve may sink below nothing; part of its surplus given away (paper)
-READ_COST, WRITE_COST, MAX_IN_FLIGHT = 1.0, 1.5, 24  # tokens for a unit; hand-offs out at a node (design: 32)
-RATE_DOUBLING_TIME = (
-    2_000  # the rate about doubles in this time while tasks are held and the lag is far under its target
-)
-RATE_DECREASE, MAX_RATE_DECREASE = (
-    0.2,
-    0.9,
-)  # part that it loses with the lag at twice its target, and at most in one fall
-IDLE_QUEUE_LIFETIME, WARM_LATENCY_FACTOR = (
-    600 * SECOND,
-    2,
-)  # lines sent nothing are let go; times a unit's time that tell no cold store
-LOST_AFTER_LATENCIES, LOSSES_EXPECTED_FOR, RECONNECT_DELAY = (
-    4,
-    10 * SECOND,
-    2_000,
-)  # lags until one can be lost, while it tells of more; a rest
+BUCKET_LIFETIME, MIN_SLICE_SHARE = SECOND, 0.1  # the bucket's; least fraction of the rate for slices (design)
+DEFICIT_LIMIT, DONATED_SHARE = 50.0, 0.9  # tokens; fraction of a reserve's surplus that is donated (paper)
+READ_COST, WRITE_COST, MAX_IN_FLIGHT = 1.0, 1.5, 24  # tokens for a unit; hand-offs at a node (design: 32)
+RATE_DOUBLING_TIME = 2_000  # about, while tasks are held and the latency is far under its target
+RATE_DECREASE, MAX_RATE_DECREASE = 0.2, 0.9  # fraction lost at twice the target latency; the most at once
+# How long an idle queue is kept; a store is not cold that answers within so many times a unit's usual time.
+IDLE_QUEUE_LIFETIME, WARM_LATENCY_FACTOR = 600 * SECOND, 2
+# Expected latencies until an answer can be lost; how long one loss makes others likely; step of reconnects.
+LOST_AFTER_LATENCIES, LOSSES_EXPECTED_FOR, RECONNECT_DELAY = 4, 10 * SECOND, 2_000
 
 
 class VolumeQueue:
-    """One volume at one node. What it reserve or owes while it holds no tasks is worked out when needed."""
+    """One volume's tasks at one node. What it earns or owes while it is empty is computed when needed."""
 
     def __init__(self, node: Node, number: int, volume: Volume) -> None:
         self.node, self.number, self.volume = node, number, volume  # number: its place in the round
         self.held: deque[Task] = deque()
-        self.total_reserve = volume.plan.reserve / SECOND  # read tokens a tenth, over all gateways and nodes
-        self.reserve = self.balance = self.tokens = (
-            0.0  # reserve: this gateway's and node's part of the reserve
-        )
-        self.accrued_at, self.slice_at = node.accrued_at, 0.0  # up to when balance and tokens are worked out
-        self.full_at, self.debt_free_at = (
-            0,
-            0.0,
-        )  # when its balance is full; after which slices it owes nothing
-        self.demand_at, self.demand_allowance = (
-            0,
-            0.0,
-        )  # when a first try last came; units that the volume is sized for
-        self.planned_rate = 0.0  # units a tenth that the volume is sized for here, as the last first try told
+        self.total_reserve = volume.plan.reserve / SECOND  # tokens a tenth, over all gateways and nodes
+        # This gateway's and node's part of that rate; what it has earned; tokens of slices.
+        self.reserve = self.balance = self.tokens = 0.0
+        # Up to when `balance`, and up to which sum of slices `tokens`, are computed.
+        self.accrued_at, self.slice_at = node.accrued_at, 0.0
+        # When its balance is full, if that is scheduled; the sum of slices at which its debt is paid.
+        self.full_at, self.debt_free_at = 0, 0.0
+        # When a first try last came; units that further ones may ask for within what the volume is sized for.
+        self.demand_at, self.demand_allowance = 0, 0.0
+        self.planned_rate = 0.0  # units a tenth that the volume is sized for here, as of the last first try
 
     def set_reserve(self, reserve: float) -> None:
+        """Change the rate at which its balance grows from now on."""
         if self.node.queues.get(self.volume) is self:
             self.node.reserve += reserve - self.reserve
             if self in self.node.full:
@@ -72,11 +58,12 @@
 
 
 def cost_of(task: Task) -> float:
+    """A task's cost in tokens."""
     return task.units * (WRITE_COST if task.category.writes else READ_COST)
 
 
 class Node(StoreMeasurements):
-    """One store and the lines of its volumes here."""
+    """One store, and the queues of its volumes at this gateway."""
 
     def __init__(
         self,
@@ -91,33 +78,28 @@
         gateways: int,
     ) -> None:
         super().__init__(store, runtime, rate, largest_task, usual, soft_limit, delays, gateways)
-        self.slow_start, self.round_scheduled, self.starved = (
-            slow_start,
-            False,
-            False,
-        )  # starved: tokens or bound held back
-        self.queues, self.backlogged = (
-            dict[Volume, VolumeQueue](),
-            list[VolumeQueue](),
-        )  # holding: with held tasks, in order
-        # Of the others: those whose balance is full (`has` for a token earned), when more will be, those that
-        # held a task lately, those in debt, and the slices after which they owe nothing.
+        # starved: in the last round the lack of tokens, or the bound of those in flight, held tasks back
+        self.slow_start, self.round_scheduled, self.starved = slow_start, False, False
+        # `backlogged`: queues with held tasks, by number. Of the empty ones: those with a full balance (it is
+        # `full_span` times their reserve) and a heap of when others get there; those that held a task lately,
+        # and when; those in debt, and a heap of the sums of slices at which debts are paid.
+        self.queues, self.backlogged = dict[Volume, VolumeQueue](), list[VolumeQueue]()
         self.full, self.full_heap = dict[VolumeQueue, None](), list[tuple[int, int, VolumeQueue]]()
         self.recent, self.in_debt = dict[VolumeQueue, int](), dict[VolumeQueue, None]()
         self.debt_heap = list[tuple[float, int, VolumeQueue]]()
-        self.reserve = self.full_rate = self.full_span = self.slice_sum = (
-            0.0  # paid: all slices so far, of one line
-        )
-        self.queue_count = self.heap_count = self.round_start = (
-            0  # first: where the next round of slices starts
-        )
+        # Reserves of all queues and of the full ones; the sum of all slices that one queue could have got.
+        self.reserve = self.full_rate = self.full_span = self.slice_sum = 0.0
+        # round_start: the number of the queue where the next round of slices starts
+        self.queue_count = self.heap_count = self.round_start = 0
         self.bucket, self.in_flight, self.tokens_out, self.held_count, self.held_tokens = 0.0, 0, 0.0, 0, 0.0
         self.accrued_at = self.bucket_ends = runtime.now
 
     def usable(self) -> bool:
+        """Whether tasks may be sent to the store now."""
         return self.store.state is StoreState.READY and self.runtime.now >= self.resting_until
 
     def can_send(self, task: Task, cost: float) -> bool:
+        """Whether the store has room for a task, whatever tokens its queue has."""
         if not self.usable() or self.in_flight >= MAX_IN_FLIGHT:
             return False
         if self.in_flight and self.tokens_out + cost > self.token_bound():
@@ -128,32 +110,33 @@
         )
 
     def record_demand(self, queue: VolumeQueue, units: float, rate: float) -> None:
-        """A first try has come. For a young store it counts within what its volume was sized for, `rate`."""
+        """Count a first try. At a cold store it brings credit, within the `rate` its volume is sized for."""
         if self.slow_start:
             self.slow_start.budget.demand.add(self.runtime.now, units)
         if self.slow_start and (
-            part := self.slow_start.cold_capacity(self.store, self.runtime.now, self.answered_sent)
+            capacity := self.slow_start.cold_capacity(self.store, self.runtime.now, self.answered_sent)
         ):
             most = max(rate * self.slow_start.rule.span, self.slow_start.largest)
-            sized = min(queue.demand_allowance + rate * (self.runtime.now - queue.demand_at), most)
-            queue.demand_at, queue.demand_allowance, counts = (
+            allowance = min(queue.demand_allowance + rate * (self.runtime.now - queue.demand_at), most)
+            queue.demand_at, queue.demand_allowance, counted = (
                 self.runtime.now,
-                max(sized - units, 0.0),
-                min(units, sized),
+                max(allowance - units, 0.0),
+                min(units, allowance),
             )
             self.slow_start.budget.planned_rate += rate - queue.planned_rate
             queue.planned_rate = rate
-            # With no queue there all send it less than its power, which is that much under what it bears. One
-            # that answers at once whatever it gets shows no queue either: `earn` bounds this by its budget.
-            clear = (
+            # While nothing queues at the store, all gateways send it less than its power, of which it bears a
+            # multiple. One that always answers at once shows no queue either: `add_credit` applies a budget.
+            no_queue = (
                 bool(self.samples)
                 and self.samples[-1][0] >= self.runtime.now - SAMPLE_LIFETIME
                 and self.headroom() > 0
             )
-            earned = DEMAND_SHARE * part * counts * (self.slow_start.rule.multiple if clear else 1)
-            self.slow_start.add_credit(earned, self.runtime.now, part)
+            credit = DEMAND_SHARE * capacity * counted * (self.slow_start.rule.multiple if no_queue else 1)
+            self.slow_start.add_credit(credit, self.runtime.now, capacity)
 
     def enqueue(self, queue: VolumeQueue, task: Task) -> None:
+        """Hold a task: behind those of its volume, or in front of them if it was handed off before."""
         if not queue.held:
             self.activate(queue)
         (queue.held.appendleft if task.hand_offs else queue.held.append)(task)
@@ -161,6 +144,7 @@
         self.run_round()
 
     def remove(self, queue: VolumeQueue, task: Task) -> None:
+        """Take a task out of its queue if it is held there."""
         if task in queue.held:
             queue.held.remove(task)
             self.held_count, self.held_tokens = self.held_count - 1, self.held_tokens - cost_of(task)
@@ -168,10 +152,11 @@
                 self.deactivate(queue)
 
     def activate(self, queue: VolumeQueue) -> None:
+        """An empty queue gets a task: compute its balance and tokens up to now."""
         insort(self.backlogged, queue, key=lambda other: other.number)
         if queue in self.full:
             del self.full[queue]
-            self.full_rate, queue.balance = self.full_rate - queue.reserve, self.full_span * queue.reserve
+            self.full_rate, queue.balance = (self.full_rate - queue.reserve, self.full_span * queue.reserve)
         else:
             queue.balance += queue.reserve * (self.accrued_at - queue.accrued_at)
         if queue in self.in_debt:
@@ -181,6 +166,7 @@
         queue.full_at = 0
 
     def deactivate(self, queue: VolumeQueue) -> None:
+        """A queue is empty now: it gives its tokens to the bucket, or keeps its debt."""
         self.backlogged.remove(queue)
         queue.accrued_at, queue.slice_at, self.recent[queue] = (
             self.accrued_at,
@@ -196,6 +182,7 @@
         self.schedule_full(queue)
 
     def schedule_full(self, queue: VolumeQueue) -> None:
+        """Note when an empty queue's balance will be full, of three rounds' earnings."""
         missing = 3 * ROUND * queue.reserve - queue.balance
         if queue.reserve and missing > 0:
             queue.full_at = queue.accrued_at + int(missing / queue.reserve) + 1
@@ -205,7 +192,7 @@
             self.mark_full(queue)
 
     def mark_full(self, queue: VolumeQueue) -> None:
-        """Its balance is full: it gives to the bucket as all such lines do. Those longest so are let go."""
+        """A queue's balance is full: it donates as all such queues do. Those longest idle are removed."""
         self.bucket += queue.balance - self.full_span * queue.reserve
         self.full[queue], queue.accrued_at, queue.full_at = None, self.accrued_at, 0
         self.full_rate += queue.reserve
@@ -215,12 +202,14 @@
             del self.full[oldest], self.queues[oldest.volume]
             if self.slow_start:
                 self.slow_start.budget.planned_rate -= oldest.planned_rate
-            self.reserve, self.full_rate = self.reserve - oldest.reserve, self.full_rate - oldest.reserve
+            self.reserve, self.full_rate = (self.reserve - oldest.reserve, self.full_rate - oldest.reserve)
 
     def run_round(self) -> None:
+        """Serve reserves, then slices; while tasks are held, schedule the next round."""
         self.accrue()
         if self.held_count and self.usable():
             for queue in list(self.backlogged):
+                # A second's earnings bound it too: 50 tokens on each of thousands of queues are no bound.
                 while (
                     queue.reserve
                     and queue.held
@@ -240,17 +229,19 @@
             )
 
     def run_scheduled_round(self) -> None:
+        """The round for which a call was scheduled."""
         self.round_scheduled = False
         self.run_round()
 
     def serve_slices(self) -> None:
+        """One round-robin pass over the backlogged queues, from where the last one stopped."""
         start = bisect_left(self.backlogged, self.round_start, key=lambda queue: queue.number)
         for queue in self.backlogged[start:] + self.backlogged[:start]:
             while queue.held:
                 cost = cost_of(queue.held[0])
-                if (short := cost - queue.tokens) > self.bucket:
+                if (missing := cost - queue.tokens) > self.bucket:
                     self.starved = True
-                    # An idle node lends if the work is in time, to a line in debt only on a fresh sample.
+                    # An idle node lends tokens if the task is in time; to one in debt only on a fresh sample.
                     if (
                         self.in_flight
                         or self.headroom() < 1 - 1 / TARGET_SHARE
@@ -260,19 +251,21 @@
                 if not self.can_send(queue.held[0], cost):
                     self.round_start = queue.number
                     return
-                drawn = min(max(short, 0.0), max(self.bucket, 0.0))
+                drawn = min(max(missing, 0.0), max(self.bucket, 0.0))
                 self.bucket, queue.tokens = self.bucket - drawn, queue.tokens + drawn - cost
                 self.grant(queue, cost)
         self.round_start = (self.round_start + 1) % max(self.queue_count, 1)
 
     def accrue(self) -> None:
+        """Give out what the time since the last call is worth, and adjust the rate."""
         span, self.accrued_at, now = self.runtime.now - self.accrued_at, self.runtime.now, self.runtime.now
-        if self.starved and (gap := self.headroom()) > 0:
-            # By time and not by outcomes: where few tasks come by, a rate once low would stay low.
-            rate = self.rate * (1 + gap * min(span, ROUND) / RATE_DOUBLING_TIME)
-            # What MAX_IN_FLIGHT hand-offs can be at the lag seen: a store far quicker than the target does more.
-            lag = self.expected_latency(self.usual) if self.samples else self.soft_limit * TARGET_SHARE
-            self.rate = min(rate, MAX_IN_FLIGHT * self.usual / max(lag, 1))
+        if self.starved and (headroom := self.headroom()) > 0:
+            # The rate rises by time and not by outcomes: with few tasks, a rate once low would stay low.
+            rate = self.rate * (1 + headroom * min(span, ROUND) / RATE_DOUBLING_TIME)
+            # At most what MAX_IN_FLIGHT tasks make at the latency seen: capped by the target latency, a store
+            # far faster than that would be held back.
+            latency = self.expected_latency(self.usual) if self.samples else self.soft_limit * TARGET_SHARE
+            self.rate = min(rate, MAX_IN_FLIGHT * self.usual / max(latency, 1))
         self.starved = False
         if now >= self.bucket_ends:
             self.bucket, self.bucket_ends = 0.0, now + BUCKET_LIFETIME
@@ -283,6 +276,7 @@
             if queue.full_at == moment:
                 queue.balance += queue.reserve * (now - queue.accrued_at)
                 self.mark_full(queue)
+        # Of a balance beyond three rounds' earnings, most is donated: here by all full queues at once.
         most, surplus = 3 * ROUND, max(self.full_span + span - 3 * ROUND, 0.0) * DONATED_SHARE
         self.full_span, self.bucket = self.full_span + span - surplus, self.bucket + surplus * self.full_rate
         while self.recent and next(iter(self.recent.values())) <= now - BUCKET_LIFETIME:
@@ -292,11 +286,12 @@
         )
         if not active:
             return
+        # An empty queue gives its slice to the bucket, unless it pays a debt with it.
         part, idle = (
             max(self.rate - self.reserve, self.rate * MIN_SLICE_SHARE) * span / active,
             active - len(self.backlogged),
         )
-        self.slice_sum, self.bucket = self.slice_sum + part, self.bucket + part * (idle - len(self.in_debt))
+        self.slice_sum, self.bucket = (self.slice_sum + part, self.bucket + part * (idle - len(self.in_debt)))
         while self.debt_heap and self.debt_heap[0][0] <= self.slice_sum:
             debt, _, queue = heappop(self.debt_heap)
             if queue in self.in_debt and queue.debt_free_at == debt:
@@ -308,6 +303,7 @@
             queue.balance, self.bucket = queue.balance - surplus, self.bucket + surplus
 
     def grant(self, queue: VolumeQueue, cost: float) -> None:
+        """Let the first task of a queue be handed off."""
         task = queue.held.popleft()
         self.held_count, self.held_tokens, self.version = (
             self.held_count - 1,
@@ -327,32 +323,38 @@
         self.runtime.wake(task, WakeReason.GRANTED)
 
     def release(self, cost: float) -> None:
+        """A hand-off no longer counts as in flight."""
         self.in_flight, self.tokens_out = self.in_flight - 1, self.tokens_out - cost
         self.run_round()
 
     def take_back(self, task: Task) -> None:
+        """A granted task is not handed off after all."""
         del self.sent_at[task]
         self.version += 1
         self.release(cost_of(task))
 
     def record_outcome(self, task: Task, outcome: Outcome) -> None:
+        """Learn from the end of a hand-off: latency and rate, lost answers, failures, a suspected restart."""
         now, cost, sent = self.runtime.now, cost_of(task), self.sent_at.pop(task)
-        long = (
+        overdue = (
             outcome.kind is OutcomeKind.TIMED_OUT
             and outcome.latency >= LOST_AFTER_LATENCIES * self.expected_latency(task.units)
         )
-        lost = (
-            long and sent < self.answered_sent
-        )  # guards against short patience and slow nodes, which look like it
+        # Only if a later hand-off was answered: short timeouts and slow nodes look like a lost answer.
+        lost = overdue and sent < self.answered_sent
         self.version, self.delays.losses_until = (
             self.version + 1,
             now + LOSSES_EXPECTED_FOR if lost else self.delays.losses_until,
         )
         if outcome.kind is OutcomeKind.TIMED_OUT and not lost:
-            # Guards against work that goes on at the store after its client left: it stays on the books.
+            # The store may go on with the work after its client has left: it counts as in flight for a while.
             self.runtime.call_at(now + self.soft_limit, lambda: self.release(cost))
         else:
-            self.last_heard, self.in_flight, self.tokens_out = now, self.in_flight - 1, self.tokens_out - cost
+            self.last_heard, self.in_flight, self.tokens_out = (
+                now,
+                self.in_flight - 1,
+                self.tokens_out - cost,
+            )
         if outcome.kind not in (OutcomeKind.NOT_EXECUTED, OutcomeKind.CANCELLED):
             self.successes.append(outcome.kind is OutcomeKind.DELIVERED)
         if (
@@ -364,7 +366,7 @@
                 max(self.answered_sent, sent if outcome.kind is OutcomeKind.DELIVERED else 0),
                 0,
             )
-            # A cold store takes several times as long: who answers as quickly as before was only cut off.
+            # A cold store takes several times as long. One as fast as before was cut off and did not restart.
             if (
                 self.slow_start
                 and sent > self.slow_start.suspected_start
@@ -373,16 +375,18 @@
                 self.slow_start.suspected_start = 0
             self.add_sample(outcome.latency, task.units)
             self.delays.record(self.store, now, self.queueing_delay())
-            if (gap := self.headroom()) < 0:
+            if (headroom := self.headroom()) < 0:
                 self.decrease_rate(
-                    min(RATE_DECREASE * -gap, MAX_RATE_DECREASE), min(outcome.latency, self.soft_limit) // 2
+                    min(RATE_DECREASE * -headroom, MAX_RATE_DECREASE),
+                    min(outcome.latency, self.soft_limit) // 2,
                 )
         elif outcome.kind is OutcomeKind.QUEUE_FULL:
             self.failures_in_row += 1
             self.decrease_rate(RATE_DECREASE, ROUND)
             self.resting_until = now + ROUND * 5 * min(self.failures_in_row, 10)
         elif outcome.kind is OutcomeKind.NO_CONNECTION:
-            # Guards against a restart that the list has not told: tried ever more seldom, it counts as cold.
+            # The store may have restarted, which the list reports late: from the second failure in a row it
+            # counts as cold, and it is tried less and less often.
             self.failures_in_row += 1
             if self.slow_start and self.failures_in_row > 1:
                 self.slow_start.suspected_start, self.slow_start.credited_at, self.slow_start.credit = (
