--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -1,4 +1,4 @@
-"""The ordinary path of a task, who may go where, and how the list and other gateways are followed."""
+"""The path of a task, where it may go, and how the list of stores and other gateways are followed."""
 
 import random
 from collections import deque
@@ -31,26 +31,19 @@
 from .rates import OVERLOAD_LIFETIME, SAMPLE_COUNT, TARGET_SHARE, QueueDelays
 from .volumes import KeyQueue, RetryBudget, VolumeState
 
-LATENCY_MARGIN, MAX_MARGIN_SHARE = (
-    1.5,
-    0.75,
-)  # times the lag left to a held task's soft limit; at most this part of that
-RANKING_INTERVAL = 500  # the ranking for new objects is renewed every 50 ms
-GONE_LIFETIME, NEW_FLEET_WINDOW = (
-    30 * SECOND,
-    2 * SECOND,
-)  # nodes gone are let go; gateways started within it: a new fleet
-PEER_REPLY_TIME, PUSH_RETRY_DELAY = (
-    800,
-    500,
-)  # when gateways asked for units have answered or will not; a pushed list is tried anew
-PEERS_PER_ASK, BROADCAST_INTERVAL = (
-    6,
-    6 * SECOND,
-)  # so many are asked at once; all gateways at most once in a while
+# A held task must have so many expected latencies left to its soft deadline, at most this part of its time.
+LATENCY_MARGIN, MAX_MARGIN_SHARE = 1.5, 0.75
+RANKING_INTERVAL = 500  # how often nodes are ranked for new objects: every 50 ms
+# How long a node is kept once its store is gone; gateways that all started within this time are a new fleet.
+GONE_LIFETIME, NEW_FLEET_WINDOW = 30 * SECOND, 2 * SECOND
+# When peers that were asked for units have replied or will not; the pause until a pushed list is tried again.
+PEER_REPLY_TIME, PUSH_RETRY_DELAY = 800, 500
+PEERS_PER_ASK, BROADCAST_INTERVAL = 6, 6 * SECOND  # asked at once; least time between asks of all gateways
 
 
 class Scheduler:
+    """Decides for one gateway: `serve` makes the generator of a task; the other methods take in events."""
+
     def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         self.config, self.runtime, self.rng, self.started_at = (
             config,
@@ -58,10 +51,12 @@
             random.Random(seed),
             runtime.now,
         )
-        self.fleet_is_new: bool | None = None  # whether all gateways are, where another has said so
+        self.fleet_is_new: bool | None = (
+            None  # whether all gateways have just started; None until one has replied
+        )
         if config.allowed.peers:
             runtime.call_at(runtime.now, lambda: runtime.send_to_peer(None, PeerMessage(None, 0.0, False)))
-        self.soft_limit = min(category.soft_limit for category in config.categories)
+        self.soft_limit = min(category.soft_limit for category in config.categories)  # the tightest
         self.largest_task, self.usual = max(config.sizes.largest, 1.0), max(config.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
         self.delays, self.keys, self.list_failures, self.next_rank_at = (
@@ -71,17 +66,20 @@
             0,
         )
         self.retry_budget = RetryBudget(config.retry_budget, runtime.now) if config.retry_budget else None
-        self.time_left: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
+        self.time_left: dict[
+            Category, deque[int]
+        ] = {}  # until the deadlines of the last tasks, when they came
         if config.listing.must_poll:
             runtime.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
+        """Take in all known stores. `confirmed`: by the list itself, not only by a store or from memory."""
         self.list_failures = 0 if confirmed else self.list_failures
-        cold, gateways = self.config.slow_start, self.config.gateways
+        rule, gateways = self.config.slow_start, self.config.gateways
         for store in stores:
             if store not in self.nodes and store.state is not StoreState.GONE:
                 slow_start = (
-                    SlowStart(cold, gateways, self.config.gateway_index, self.largest_task) if cold else None
+                    SlowStart(rule, gateways, self.config.gateway_index, self.largest_task) if rule else None
                 )
                 self.nodes[store] = Node(
                     store,
@@ -118,7 +116,8 @@
                 self.runtime.wake(task, WakeReason.RECHECK)
 
     def list_failed(self) -> None:
-        # Guards against news that whoever pushes holds: it counts as told, and calls there cost nothing.
+        """The list could not be had: ask again later."""
+        # What the sender of a pushed list holds counts as known here, and calls there cost nothing: ask soon.
         wait = (
             min(SECOND * 2**self.list_failures, START_REPORTED_WITHIN // 3)
             if self.config.listing.must_poll
@@ -130,28 +129,29 @@
         )
 
     def average_rate(self) -> float:
-        """What a new node counts as; before any was heard, the rate that fills the least bound."""
-        heard = [
+        """The rate that a new node starts with; before any was measured, one that allows one largest task."""
+        rates = [
             n.rate
             for n in self.nodes.values()
             if n.samples and self.runtime.now - n.samples[-1][0] < OVERLOAD_LIFETIME
         ]
-        return sum(heard) / len(heard) if heard else self.largest_task / (self.soft_limit * TARGET_SHARE)
+        return sum(rates) / len(rates) if rates else self.largest_task / (self.soft_limit * TARGET_SHARE)
 
     def rank(self) -> None:
-        """Order the nodes for new objects by the time a task would spend there, failures counted in."""
+        """Order the nodes for new objects by the time that a task would spend there, failures included."""
         self.next_rank_at = self.runtime.now + RANKING_INTERVAL
 
-        def dwell(node: Node) -> float:
+        def expected_time(node: Node) -> float:
             failing = node.successes.count(False) / max(len(node.successes), 1)
             return (
                 node.expected_latency(self.usual) + node.held_tokens / node.rate + failing * self.soft_limit
             )
 
         ready = [node for node in self.by_shard.values() if node.usable()]
-        self.ranked = sorted(ready, key=lambda node: (dwell(node), self.rng.uniform(0, 1)))
+        self.ranked = sorted(ready, key=lambda node: (expected_time(node), self.rng.uniform(0, 1)))
 
     def node_for(self, task: Task) -> Node | None:
+        """The node of the task's shard; for a new object the best one by rank that stays filled to half."""
         if task.shard is not None:
             return self.by_shard.get(task.shard)
         if self.runtime.now >= self.next_rank_at:
@@ -162,9 +162,9 @@
         return min(self.ranked, key=lambda n: (n.held_tokens + n.tokens_out) / n.rate, default=None)
 
     def serve(self, task: Task) -> Generator[TaskAction, WakeReason | Outcome | None, None]:
-        """The ordinary path: find the node, wait for the turn, hand off, judge the outcome."""
+        """The path of a task: find its node, wait until it is granted, hand it off, look at the outcome."""
         now, state, due = self.runtime.now, self.volume_state(task.volume), self.soft_deadline(task)
-        if late := due <= now:  # worth little any more: it goes only where nothing waits
+        if late := due <= now:  # its answer is worth little now: it is sent only where nothing queues
             due = min(now + task.category.soft_limit, task.deadline)
         if self.retry_budget:
             self.retry_budget.tasks.append(now)
@@ -192,14 +192,14 @@
                     state.waiting.pop(task, None)
                     continue
                 node.enqueue(queue, task)
-                if (signal := (yield Wait(latest))) is not WakeReason.GRANTED:
+                if (reason := (yield Wait(latest))) is not WakeReason.GRANTED:
                     node.remove(queue, task)
-                    if signal is WakeReason.RECHECK:
+                    if reason is WakeReason.RECHECK:
                         continue
                     break
                 legal = self.may_hand_off(task) and self.may_go_to(task, node.store)
                 if not legal or self.limit_wait(task, state):
-                    # The limit is charged at the turn: charged before, a held line could leave in one burst.
+                    # The limit is charged now: if held tasks were charged, they could leave in one burst.
                     node.take_back(task)
                     continue
                 self.spend(task, queue, state)
@@ -209,10 +209,7 @@
                 if outcome.kind is OutcomeKind.DELIVERED and (
                     outcome.used_elsewhere,
                     outcome.plan_use_percent,
-                ) != (
-                    None,
-                    None,
-                ):
+                ) != (None, None):
                     state.record_use(task.units, outcome, task.volume.plan, self.runtime.now)
                 if not outcome.never_ran:
                     task.may_have_run.append((node.store, sent))
@@ -232,7 +229,7 @@
             self.leave_key(task)
 
     def timeout(self, task: Task, node: Node, due: int) -> int:
-        """After what time a harmless task goes again, if answers are lost and it can be in time, else 0."""
+        """When to send an idempotent task again, if answers get lost and a second can be in time; else 0."""
         now, allowed, idempotent = (
             self.runtime.now,
             self.config.allowed,
@@ -244,19 +241,23 @@
             or now >= self.delays.losses_until
         ):
             return 0
-        patience = max(
-            LOST_AFTER_LATENCIES * (lag := int(node.expected_latency(task.units))), self.soft_limit // 2
+        timeout = max(
+            LOST_AFTER_LATENCIES * (latency := int(node.expected_latency(task.units))), self.soft_limit // 2
         )
-        return patience if now + patience + lag * LATENCY_MARGIN < due else 0
+        return timeout if now + timeout + latency * LATENCY_MARGIN < due else 0
 
     def soft_deadline(self, task: Task) -> int:
-        """When the soft limit ends, from the first try: less time left than usual tells of an earlier one."""
+        """When the soft limit ends, counted from the client's first try.
+
+        A task with less time left than others of its category is taken for a later try.
+        """
         times = self.time_left.setdefault(task.category, deque(maxlen=SAMPLE_COUNT))
         times.append(task.deadline - self.runtime.now)
         age = max(times) - times[-1] if times[-1] >= task.category.soft_limit else 0
         return min(self.runtime.now + task.category.soft_limit - age, task.deadline)
 
     def queue_of(self, node: Node, volume: Volume) -> VolumeQueue:
+        """The volume's queue at a node; made when it is first needed, with an even part of the reserve."""
         if volume not in node.queues:
             queue = node.queues[volume] = VolumeQueue(node, node.queue_count, volume)
             node.queue_count += 1
@@ -266,16 +267,17 @@
         return node.queues[volume]
 
     def volume_state(self, volume: Volume) -> VolumeState:
+        """The volume's state over all nodes; made when it is first needed."""
         if volume.state is None:
             plan, gateways = volume.plan, volume.gateways if volume.gateways >= 1 else self.config.gateways
-            shares = (
-                self.runtime.shares if gateways == self.config.gateways else EvenShares()
-            )  # views divide among all
+            # Agreed shares divide among all gateways: a volume that only some serve is divided evenly.
+            shares = self.runtime.shares if gateways == self.config.gateways else EvenShares()
             limit, depth = plan.limit / SECOND / gateways, plan.limit_depth / gateways
             volume.state = VolumeState(gateways, limit, depth, self.started_at, shares)
         return volume.state
 
     def spend(self, task: Task, queue: VolumeQueue, state: VolumeState) -> None:
+        """Charge a hand-off to the limit or the retry budget; divide the reserve by where it is used."""
         if not task.hand_offs:
             state.units -= task.units
         elif self.retry_budget:
@@ -287,7 +289,10 @@
             other.set_reserve(other.total_reserve * units / total)
 
     def limit_wait(self, task: Task, state: VolumeState) -> int:
-        """Tenths until the limit has a first hand-off's units. A part starts empty, in a new fleet full."""
+        """Time until the limit has the units of a first hand-off, or until others may have granted them.
+
+        The bucket starts empty, since an earlier process may have spent it, and full in a new fleet.
+        """
         now = self.runtime.now
         if not state.started and self.fleet_is_new is not None and now >= self.started_at + PEER_REPLY_TIME:
             state.started = True
@@ -299,7 +304,11 @@
         return min(wait, self.ask_peers(task.volume, state) or wait) if wait else 0
 
     def ask_peers(self, volume: Volume, state: VolumeState) -> int:
-        """Ask some gateways of the volume for units, all while some are unknown; how long that may take."""
+        """Ask gateways of the volume for units of its limit; returns how long their replies may take.
+
+        Some are asked, or all gateways while some of the volume's are unknown. The time between asks doubles
+        while little is granted.
+        """
         now = self.runtime.now
         if not self.config.allowed.peers or state.gateways <= 1:
             return 0
@@ -309,16 +318,20 @@
             )
             state.asked_at, state.next_ask_at = now, now + state.ask_interval
             state.received, state.wanted = 0.0, state.depth - state.units
-            some: list[int | None] = [*self.rng.sample([*state.peers], min(PEERS_PER_ASK, len(state.peers)))]
+            peers: list[int | None] = [*self.rng.sample([*state.peers], min(PEERS_PER_ASK, len(state.peers)))]
             if len(state.peers) < state.gateways - 1 and now >= state.next_broadcast_at:
-                some, state.next_broadcast_at = [None], now + BROADCAST_INTERVAL
-            for peer in some:
-                each = state.wanted / (state.gateways - 1 if peer is None else len(some))
+                peers, state.next_broadcast_at = [None], now + BROADCAST_INTERVAL
+            for peer in peers:
+                each = state.wanted / (state.gateways - 1 if peer is None else len(peers))
                 self.runtime.send_to_peer(peer, PeerMessage(volume, each, False))
         return max(state.asked_at + PEER_REPLY_TIME - now, 0)
 
     def on_peer_message(self, peer: int, message: PeerMessage) -> None:
-        """Another gateway gives units, asks for some (half at most; none where no task came) or greets."""
+        """Another gateway grants units, asks for some, or greets.
+
+        It gets at most half of the units here, and none of a volume of which no task has come here. Units are
+        taken from the bucket before they are sent: a lost message loses them, none are granted twice.
+        """
         if message.volume is None:
             if not (long_up := self.runtime.now >= self.started_at + NEW_FLEET_WINDOW):
                 self.fleet_is_new = self.fleet_is_new is not False and not message.units
@@ -337,7 +350,7 @@
             state.peers[peer] = None
 
     def may_hand_off(self, task: Task) -> bool:
-        """Whether a (further) hand-off is legal now, wherever it goes."""
+        """Whether a hand-off, or a further one, is allowed now, whatever store it goes to."""
         may = task.hand_offs < self.config.allowed.hand_offs and self.runtime.now < task.deadline
         may = may and (
             not task.hand_offs or not self.retry_budget or self.retry_budget.allows(self.runtime.now)
@@ -345,7 +358,7 @@
         return may and not (task.may_have_run and task.category.repeat is RepeatSafety.AT_MOST_ONCE)
 
     def may_go_to(self, task: Task, store: Store) -> bool:
-        """Whether a stamped task that may have run may go to this store: same group, within its memory."""
+        """Whether a task may go to a store: if it may have run, only one that would drop the repeat."""
         if not task.may_have_run or task.category.repeat is RepeatSafety.IDEMPOTENT:
             return True
         (first, sent), scope = task.may_have_run[0], task.category.scope
@@ -353,7 +366,7 @@
         return (scope is DeduplicationScope.ALL or near) and self.runtime.now < sent + task.category.window
 
     def final_answer(self, task: Task) -> TaskAction:
-        """The answer of a task given up on: a nack wherever its promise holds."""
+        """The answer of a task that is given up: a nack where the client may safely send it again."""
         allowed, category = self.config.allowed, task.category
         repeat_is_safe = category.repeat is RepeatSafety.IDEMPOTENT or (
             category.repeat is RepeatSafety.DEDUPLICATED and category.scope is DeduplicationScope.ALL
@@ -363,9 +376,8 @@
 
     def wait_for_key(self, task: Task, due: int) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
         """Wait until the task is first on its key and the key has rested; False if that comes too late."""
-        queue = self.keys.setdefault(
-            task.key, KeyQueue(self.started_at + self.config.key_rest)
-        )  # of an earlier life
+        # At first every key rests: an earlier process may have sent a task on it.
+        queue = self.keys.setdefault(task.key, KeyQueue(self.started_at + self.config.key_rest))
         queue.tasks.append(task)
         while queue.tasks[0] is not task or self.runtime.now < queue.rests_until:
             if self.runtime.now >= due:
@@ -374,6 +386,7 @@
         return True
 
     def leave_key(self, task: Task) -> None:
+        """A task has ended: the next one on its key may go."""
         if task.category.ordered and (queue := self.keys.get(task.key)) and task in queue.tasks:
             queue.tasks.remove(task)
             if queue.tasks:
