--- a/tansykeel/baselines.py
+++ b/tansykeel/baselines.py
@@ -1,4 +1,4 @@
-"""Baselines to measure the module against, never in its place: each decides through the same door."""
+"""Simple schedulers to compare the scheduler with. They decide through the same interface and never replace it."""
 
 from __future__ import annotations
 
@@ -28,35 +28,42 @@
 
 
 class SendAtOnce:
-    """Every task goes out when it comes, to the store that holds its data (a new object to each store in turn),
-    and once more after a quick failure where that does no harm. Nothing is held, nothing refused but for a drain."""
+    """Sends every task when it comes, to the store of its shard; new objects go to the stores in turn.
+
+    After a failure a task is sent again where that does no harm. Nothing is held, and a task is refused only
+    if there is no store for it.
+    """
 
     def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         self.config, self.runtime = config, runtime
         self.by_shard: dict[int, Store] = {}
-        self.next_new = seed
+        self.new_objects = seed  # a counter
         self.asks = 0
         if config.listing.must_poll:
             runtime.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
+        """Take in all known stores; of two for one shard, the one that started last counts."""
         ready = [store for store in stores if store.state is StoreState.READY]
         self.by_shard = {store.shard: store for store in sorted(ready, key=lambda s: s.started)}
 
-    def on_peer_message(self, peer: int, word: PeerMessage) -> None:
-        """Baselines keep to what is theirs: they neither ask nor give."""
+    def on_peer_message(self, peer: int, message: PeerMessage) -> None:
+        """Do nothing: baselines neither ask other gateways for units nor grant any."""
 
     def list_failed(self) -> None:
+        """Ask for the list again in a second."""
         self.runtime.call_at(self.runtime.now + 10_000, self.runtime.request_store_list)
 
     def store_for(self, task: Task) -> Store | None:
+        """The store of the task's shard, or the next one in turn for a new object."""
         if task.shard is not None:
             return self.by_shard.get(task.shard)
         shards = sorted(self.by_shard)
-        self.next_new += 1
-        return self.by_shard[shards[self.next_new % len(shards)]] if shards else None
+        self.new_objects += 1
+        return self.by_shard[shards[self.new_objects % len(shards)]] if shards else None
 
     def serve(self, task: Task) -> TaskGenerator:
+        """The generator that decides on one task."""
         while task.hand_offs < self.config.allowed.hand_offs and self.runtime.now < task.deadline:
             store = self.store_for(task)
             if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.IDEMPOTENT:
@@ -71,55 +78,57 @@
         yield self.final_answer(task)
 
     def final_answer(self, task: Task) -> TaskAction:
+        """The answer of a task that is given up: a nack where the client may safely send it again."""
         repeat, scope = task.category.repeat, task.category.scope
-        sure = (
+        repeat_is_safe = (
             repeat is RepeatSafety.IDEMPOTENT or repeat is RepeatSafety.DEDUPLICATED and scope is DeduplicationScope.ALL
         )
-        return BreakOff() if task.may_have_run and not sure else Nack(0)
+        return BreakOff() if task.may_have_run and not repeat_is_safe else Nack(0)
 
 
-class Window(SendAtOnce):
-    """First in first out: WINDOW hand-offs out at a store, all others wait in one line for it, whoever they are."""
+class FixedWindow(SendAtOnce):
+    """First in, first out: WINDOW hand-offs in flight at a store, and one queue for all other tasks."""
 
     WINDOW = 8
 
     def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         super().__init__(config, seed, runtime)
-        self.out: dict[Store, int] = {}
-        self.lines: dict[Store, deque[Task]] = {}
+        self.in_flight: dict[Store, int] = {}
+        self.queues: dict[Store, deque[Task]] = {}
 
-    def room(self, store: Store, task: Task) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
-        """Wait until the store has room; False when the task's time is up."""
-        line = self.lines.setdefault(store, deque())
-        if self.out.get(store, 0) < self.WINDOW and not line:
+    def wait_for_room(self, store: Store, task: Task) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
+        """Wait until the store has room; False when the task's deadline has come."""
+        queue = self.queues.setdefault(store, deque())
+        if self.in_flight.get(store, 0) < self.WINDOW and not queue:
             return True
-        line.append(task)
-        signal = yield Wait(task.deadline)
-        if task in line:
-            line.remove(task)
-        return signal is WakeReason.GRANTED
+        queue.append(task)
+        reason = yield Wait(task.deadline)
+        if task in queue:
+            queue.remove(task)
+        return reason is WakeReason.GRANTED
 
-    def pass_on(self, store: Store) -> None:
-        """Whoever is next at the store has its turn."""
-        if line := self.lines.get(store):
-            self.runtime.wake(line.popleft(), WakeReason.GRANTED)
+    def grant_next(self, store: Store) -> None:
+        """Wake the next task that waits for the store."""
+        if queue := self.queues.get(store):
+            self.runtime.wake(queue.popleft(), WakeReason.GRANTED)
 
     def serve(self, task: Task) -> TaskGenerator:
+        """The generator that decides on one task."""
         while task.hand_offs < self.config.allowed.hand_offs and self.runtime.now < task.deadline:
             store = self.store_for(task)
             if store is None or task.may_have_run and task.category.repeat is not RepeatSafety.IDEMPOTENT:
                 break
-            if not (yield from self.room(store, task)):
+            if not (yield from self.wait_for_room(store, task)):
                 break
             if store.state is not StoreState.READY:
-                self.pass_on(store)
+                self.grant_next(store)
                 continue
-            self.out[store] = self.out.get(store, 0) + 1
+            self.in_flight[store] = self.in_flight.get(store, 0) + 1
             task.hand_offs += 1
             sent, outcome = self.runtime.now, (yield HandOff(store))
             assert isinstance(outcome, Outcome)
-            self.out[store] -= 1
-            self.pass_on(store)
+            self.in_flight[store] -= 1
+            self.grant_next(store)
             if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                 return
             if not outcome.never_ran:
@@ -127,16 +136,17 @@
         yield self.final_answer(task)
 
 
-class Buckets(SendAtOnce):
+class TokenBuckets(SendAtOnce):
     """A token bucket for each volume, filled at its plan's rate over its gateways; a task waits for its units."""
 
     SECOND = 10_000
 
     def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         super().__init__(config, seed, runtime)
-        self.level: dict[Volume, tuple[float, int]] = {}
+        self.level: dict[Volume, tuple[float, int]] = {}  # units in the bucket, and when they were computed
 
     def serve(self, task: Task) -> TaskGenerator:
+        """The generator that decides on one task."""
         rate = task.volume.plan.rate / self.SECOND / max(task.volume.gateways, 1)
         depth = rate * self.SECOND + self.config.sizes.largest
         level, at = self.level.get(task.volume, (depth, self.runtime.now))
@@ -152,50 +162,55 @@
         yield from super().serve(task)
 
 
-class RoundRobin(Window):
-    """Deficit round robin over volumes for each store, WINDOW hand-offs out: equal shares, no reserves, no rates."""
+class DeficitRoundRobin(FixedWindow):
+    """Deficit round robin over volumes for each store, WINDOW hand-offs in flight.
+
+    All volumes get equal shares; there are no reserves and no rates.
+    """
 
     QUANTUM = 4.0  # units that a volume gains in a round
 
     def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
         super().__init__(config, seed, runtime)
-        self.rings: dict[Store, dict[Volume, deque[Task]]] = {}
+        self.volume_queues: dict[Store, dict[Volume, deque[Task]]] = {}  # by store, in round-robin order
         self.deficits: dict[tuple[Store, Volume], float] = {}
 
-    def room(self, store: Store, task: Task) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
-        ring = self.rings.setdefault(store, {})
-        if self.out.get(store, 0) < self.WINDOW and not ring:
+    def wait_for_room(self, store: Store, task: Task) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
+        """Wait until the task's volume has its turn; False when the task's deadline has come."""
+        queues = self.volume_queues.setdefault(store, {})
+        if self.in_flight.get(store, 0) < self.WINDOW and not queues:
             return True
-        ring.setdefault(task.volume, deque()).append(task)
-        signal = yield Wait(task.deadline)
-        if signal is not WakeReason.GRANTED and task in ring.get(task.volume, ()):
-            self._take(store, task.volume, task)
-        return signal is WakeReason.GRANTED
-
-    def _take(self, store: Store, volume: Volume, task: Task) -> None:
-        ring = self.rings[store]
-        ring[volume].remove(task)
-        if not ring[volume]:
-            del ring[volume]
+        queues.setdefault(task.volume, deque()).append(task)
+        reason = yield Wait(task.deadline)
+        if reason is not WakeReason.GRANTED and task in queues.get(task.volume, ()):
+            self._remove(store, task.volume, task)
+        return reason is WakeReason.GRANTED
+
+    def _remove(self, store: Store, volume: Volume, task: Task) -> None:
+        queues = self.volume_queues[store]
+        queues[volume].remove(task)
+        if not queues[volume]:
+            del queues[volume]
             self.deficits.pop((store, volume), None)
 
-    def pass_on(self, store: Store) -> None:
-        ring = self.rings.get(store)
-        while ring:
-            volume = next(iter(ring))
-            first, key = ring[volume][0], (store, volume)
+    def grant_next(self, store: Store) -> None:
+        """Wake the first task of the next volume whose deficit counter covers it."""
+        queues = self.volume_queues.get(store)
+        while queues:
+            volume = next(iter(queues))
+            first, key = queues[volume][0], (store, volume)
             if self.deficits.get(key, 0.0) >= first.units:
                 self.deficits[key] -= first.units
-                self._take(store, volume, first)
+                self._remove(store, volume, first)
                 self.runtime.wake(first, WakeReason.GRANTED)
                 return
             self.deficits[key] = self.deficits.get(key, 0.0) + self.QUANTUM
-            ring[volume] = ring.pop(volume)  # to the end of the ring
+            queues[volume] = queues.pop(volume)  # to the end of the round
 
 
 BASELINES: dict[str, type[SendAtOnce]] = {
     "at-once": SendAtOnce,
-    "window": Window,
-    "buckets": Buckets,
-    "round-robin": RoundRobin,
+    "window": FixedWindow,
+    "buckets": TokenBuckets,
+    "round-robin": DeficitRoundRobin,
 }
