--- a/tests/brain/test_limits.py
+++ b/tests/brain/test_limits.py
@@ -1,11 +1,11 @@
-"""Limits, reserves, and the budget of further hand-offs."""
+"""Limits, reserves, and the retry budget."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 import pytest
-from helpers import PLAN, grant_turn, outcome, scheduler, store, task
+from helpers import PLAN, outcome, run_until_granted, scheduler, store, task
 
 from tansykeel.brain.volumes import RetryBudget, VolumeState
 from tansykeel.interface import (
@@ -22,7 +22,7 @@
 )
 
 
-def test_further_hand_offs_stay_within_the_budget_of_every_window():
+def test_retries_stay_within_the_budget_of_every_window():
     budget = RetryBudget(RetryBudgetRule(span=1_000, free=1.0, share=0.5), -10_000)
     budget.tasks.extend([0, 10])
     assert budget.allows(20)
@@ -31,7 +31,7 @@
     assert budget.allows(1_032)
 
 
-def test_a_new_life_makes_no_further_hand_off_while_an_earlier_one_may_have_used_the_budget_up():
+def test_no_retry_is_made_while_an_earlier_process_may_have_used_the_budget_up():
     budget = RetryBudget(RetryBudgetRule(span=1_000, free=2.0, share=0.5), 500)
     budget.tasks.extend([600] * 9)
     assert not budget.allows(600) and not budget.allows(1_500)
@@ -47,7 +47,7 @@
         (20.1, 10**6, 11),
     ],
 )
-def test_a_limit_starts_empty_and_never_gives_more_than_this_gateways_part(units, now, wait):
+def test_a_limit_starts_empty_and_never_holds_more_than_this_gateways_part(units, now, wait):
     brain, runtime = scheduler([])
     state = VolumeState(1.0, limit=0.01, depth=20.0, started_at=runtime.now, shares=runtime.shares)
     runtime.now += now
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    "hosts, told, part",
+    "gateways, reports, share",
     [
         (24, [], 1 / 24),
         (1, [], 1.0),
@@ -64,54 +64,54 @@
         (2, [(2.0, 8)], 0.25),
     ],
 )
-def test_a_reserve_is_split_by_the_use_that_answers_tell_of(hosts, told, part):
+def test_a_reserve_is_divided_by_the_use_that_answers_report(gateways, reports, share):
     brain, _ = scheduler([])
-    state = brain.volume_state(Volume("v", PLAN, hosts))
-    for here, there in told:
+    state = brain.volume_state(Volume("v", PLAN, gateways))
+    for here, there in reports:
         state.record_use(
             here, Outcome(OutcomeKind.DELIVERED, 100, True, used_elsewhere=there), PLAN, state.use_reported_at
         )
-    assert state.use_share(2.0) == pytest.approx(part)
+    assert state.use_share(2.0) == pytest.approx(share)
 
 
-@pytest.mark.parametrize("used, part", [(100, 0.2), (20, 1.0), (0, 1.0)])
-def test_where_nodes_do_not_tell_the_meter_gives_this_gateways_part(used, part):
-    """Two units a second here, of ten that the plan is sized for times what the meter says."""
+@pytest.mark.parametrize("used, share", [(100, 0.2), (20, 1.0), (0, 1.0)])
+def test_where_answers_report_no_use_elsewhere_the_meter_gives_this_gateways_share(used, share):
+    """Two units a second here; in all, the metered percentage of the ten that the plan is sized for."""
     brain, _ = scheduler([])
     state = brain.volume_state(Volume("v", PLAN, 10.0))
     for _ in range(1, 40):
         state.record_use(
             2.0, Outcome(OutcomeKind.DELIVERED, 100, True, plan_use_percent=used), PLAN, state.use_reported_at + 10_000
         )
-    assert state.use_share(0.0) == pytest.approx(part)
+    assert state.use_share(0.0) == pytest.approx(share)
 
 
 LIMITED = replace(PLAN, limit=4.0, limit_depth=40.0)
-TALK = AllowedActions(3, False, 0, False, True, False, peers=True)
+WITH_PEERS = AllowedActions(3, False, 0, False, True, False, peers=True)
 
 
-def of_gateways(*numbers):
-    """Schedulers of one volume's gateways whose words reach each other, and what they have of its limit."""
-    made = [scheduler([store()], gateways=len(numbers), gateway_index=number, allowed=TALK) for number in numbers]
+def gateways_of_one_volume(*numbers):
+    """Schedulers that can send each other messages, their volumes, and the states of these."""
+    made = [scheduler([store()], gateways=len(numbers), gateway_index=number, allowed=WITH_PEERS) for number in numbers]
     volumes = [Volume("v", LIMITED, float(len(numbers))) for _ in numbers]
     return made, volumes, [brain.volume_state(volume) for (brain, _), volume in zip(made, volumes, strict=True)]
 
 
-def pass_on(made, volumes):
-    """Deliver what was said; what is said to that is left for the next call."""
-    said = [runtime.sent_messages for _, runtime in made]
+def deliver_messages(made, volumes):
+    """Deliver the messages sent so far; replies wait for the next call."""
+    sent = [runtime.sent_messages for _, runtime in made]
     for _, runtime in made:
         runtime.sent_messages = []
-    for me, words in enumerate(said):
-        for peer, word in words:
+    for sender, messages in enumerate(sent):
+        for peer, message in messages:
             for number in range(len(made)) if peer is None else [peer]:
-                if number != me:
-                    made[number][0].on_peer_message(me, replace(word, volume=volumes[number]))
+                if number != sender:
+                    made[number][0].on_peer_message(sender, replace(message, volume=volumes[number]))
 
 
-def test_a_gateway_short_of_a_limit_gets_units_from_the_others_and_none_are_made():
-    """Guards against a lead that refuses while the other gateways of its volume keep what nobody asks for."""
-    made, volumes, states = of_gateways(0, 1, 2)
+def test_a_gateway_short_of_units_gets_some_from_the_others_and_none_are_created():
+    """A busy gateway refused tasks while the other gateways of its volume had units that they did not need."""
+    made, volumes, states = gateways_of_one_volume(0, 1, 2)
     for (_, runtime), state in zip(made, states, strict=True):
         runtime.now += 10_000
         state.fill(runtime.now)
@@ -120,73 +120,77 @@
     wanted = task(made[0][1], units=8.0, volume=volumes[0])
     run = made[0][0].serve(wanted)
     assert isinstance(next(run), Wait)
-    pass_on(made, volumes)  # asked
+    deliver_messages(made, volumes)  # asked
     assert [state.units for state in states] == [0.5, 3.0, 3.0]
-    pass_on(made, volumes)  # given
+    deliver_messages(made, volumes)  # given
     assert [state.units for state in states] == [6.5, 3.0, 3.0]
     assert set(made[0][1].woken) == {(wanted, WakeReason.RECHECK)} and set(states[0].peers) == {1, 2}
 
 
-def test_no_part_of_a_limit_grows_past_its_depth_by_gifts():
-    made, volumes, states = of_gateways(0, 1)
+def test_grants_do_not_fill_a_bucket_past_its_depth():
+    made, volumes, states = gateways_of_one_volume(0, 1)
     states[0].units = states[0].depth - 1
     made[0][0].on_peer_message(1, PeerMessage(volumes[0], 5.0, True))
     assert states[0].units == states[0].depth
 
 
-def test_an_ask_for_a_volume_that_no_task_here_named_gets_nothing():
-    """Guards against a gateway that gives of a part that it does not have."""
-    brain, runtime = scheduler([store()], allowed=TALK)
+def test_an_ask_for_a_volume_without_tasks_here_gets_nothing():
+    """A gateway would grant units of a bucket that it does not have."""
+    brain, runtime = scheduler([store()], allowed=WITH_PEERS)
     brain.on_peer_message(1, PeerMessage(Volume("v", LIMITED, 2.0), 5.0, False))
     assert runtime.sent_messages == []
 
 
-@pytest.mark.parametrize("peers, hosts", [(False, 3.0), (True, 1.0)])
-def test_nobody_is_asked_where_gateways_do_not_talk_or_there_is_one(peers, hosts):
-    brain, runtime = scheduler([store()], allowed=replace(TALK, peers=peers))
-    run = brain.serve(task(runtime, units=8.0, volume=Volume("v", LIMITED, hosts)))
+@pytest.mark.parametrize("peers, gateways", [(False, 3.0), (True, 1.0)])
+def test_nobody_is_asked_without_peer_messages_or_with_a_single_gateway(peers, gateways):
+    brain, runtime = scheduler([store()], allowed=replace(WITH_PEERS, peers=peers))
+    run = brain.serve(task(runtime, units=8.0, volume=Volume("v", LIMITED, gateways)))
     assert isinstance(next(run), Nack) and runtime.sent_messages == []
 
 
-GREETING, YOUNG, OLD = PeerMessage(None, 0.0, False), PeerMessage(None, 0.0, True), PeerMessage(None, 1.0, True)
+GREETING, JUST_STARTED, LONG_UP = (
+    PeerMessage(None, 0.0, False),
+    PeerMessage(None, 0.0, True),
+    PeerMessage(None, 1.0, True),
+)
 
 
 @pytest.mark.parametrize(
-    "words, after, units",
+    "messages, after, units",
     [
-        ([YOUNG], 800, 20.0),
+        ([JUST_STARTED], 800, 20.0),
         ([GREETING], 800, 20.0),
-        ([YOUNG], 799, 0.0),
+        ([JUST_STARTED], 799, 0.0),
         ([], 800, 0.0),
-        ([OLD], 800, 0.0),
-        ([YOUNG, OLD], 800, 0.0),
-        ([OLD, YOUNG], 800, 0.0),
-        ([OLD, GREETING], 800, 0.0),
+        ([LONG_UP], 800, 0.0),
+        ([JUST_STARTED, LONG_UP], 800, 0.0),
+        ([LONG_UP, JUST_STARTED], 800, 0.0),
+        ([LONG_UP, GREETING], 800, 0.0),
     ],
 )
-def test_a_limit_starts_full_only_where_others_start_too_and_none_has_run_for_long(words, after, units):
-    """Guards against a gateway that comes back and spends once more what its earlier self has spent."""
-    brain, runtime = scheduler([store()], allowed=TALK)
+def test_a_limit_starts_full_only_in_a_fleet_that_has_just_started(messages, after, units):
+    """A gateway that was restarted would spend again what its earlier process has spent."""
+    brain, runtime = scheduler([store()], allowed=WITH_PEERS)
     volume = Volume("v", replace(LIMITED, limit=1e-6), 2.0)
-    for word in words:
-        brain.on_peer_message(1, word)
+    for message in messages:
+        brain.on_peer_message(1, message)
     runtime.now += after
     brain.limit_wait(task(runtime, volume=volume), brain.volume_state(volume))
     assert volume.state.units == pytest.approx(units, abs=0.01)
 
 
-@pytest.mark.parametrize("age, answer", [(19_999, YOUNG), (20_000, OLD)])
-def test_the_answer_to_a_greeting_says_whether_a_gateway_has_run_for_long(age, answer):
-    brain, runtime = scheduler([store()], allowed=TALK)
+@pytest.mark.parametrize("age, answer", [(19_999, JUST_STARTED), (20_000, LONG_UP)])
+def test_the_reply_to_a_greeting_says_whether_a_gateway_has_been_up_for_long(age, answer):
+    brain, runtime = scheduler([store()], allowed=WITH_PEERS)
     runtime.now += age
     brain.on_peer_message(3, GREETING)
-    brain.on_peer_message(3, YOUNG)  # an answer is not answered
+    brain.on_peer_message(3, JUST_STARTED)  # a reply gets no reply
     assert runtime.sent_messages == [(3, answer)]
 
 
-def test_while_little_comes_gateways_are_asked_ever_more_seldom():
-    """Guards against a storm of words when a volume has spent its whole limit."""
-    made, volumes, states = of_gateways(0, 1)
+def test_gateways_are_asked_less_and_less_often_while_little_is_granted():
+    """A volume that has spent its whole limit would cause a storm of messages."""
+    made, volumes, states = gateways_of_one_volume(0, 1)
     brain, runtime = made[0]
     states[0].peers[1] = None
     times = []
@@ -207,7 +211,7 @@
     state = brain.volume_state(volume)
     runtime.now += 100_000
     run = brain.serve(task(runtime, units=8.0, volume=volume))
-    grant_turn(run, runtime, brain)
+    run_until_granted(run, runtime, brain)
     assert state.units == 92.0
     run.send(outcome(OutcomeKind.ERROR))
     run.send(WakeReason.GRANTED)
@@ -232,7 +236,7 @@
     assert not isinstance(runs[1].send(WakeReason.GRANTED), HandOff)
 
 
-def test_a_limit_is_earned_by_the_part_that_counts_and_a_smaller_one_holds_less():
+def test_the_gateways_share_scales_both_the_fill_rate_and_the_depth_of_a_limit():
     class Half:
         def accrued(self, since, now):
             return (now - since) / 2, 0.5
@@ -241,4 +245,4 @@
     state.fill(1_000)
     assert state.units == 5.0
     state.fill(100_000)
-    assert state.units == 10.0  # of 20 for all
+    assert state.units == 10.0  # of 20 for all gateways
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -1,4 +1,4 @@
-"""The adapter and the runner: frames in, frames out, plain words on what is malformed."""
+"""The simulator's adapter and the runner: frames read and written, errors that name what is malformed."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     )
 
 
-def test_a_word_to_all_is_written_as_the_wire_describes_it():
+def test_a_message_to_all_gateways_is_written_as_the_wire_describes_it():
     out = Outbox()
     out.tell(3, EVERYONE, b"hi!!")
     assert out.frame() == bytes.fromhex("00000001 00000024 0107 00000003 ffff 00000000 00000004" + "00" * 16) + b"hi!!"
@@ -64,7 +64,7 @@
         (1e6, True, 327.67),
     ],
 )
-def test_a_word_arrives_rounded_down_so_that_no_unit_is_made_on_the_way(units, gift, back):
+def test_units_in_a_message_are_rounded_down_so_that_none_are_created(units, gift, back):
     assert words.read(words.write(2**64 - 1, units, gift)) == (2**64 - 1, back, gift)
 
 
@@ -72,7 +72,7 @@
     assert words.read(words.write(None, 0.0, False)) == (None, 0.0, False)
 
 
-def test_bytes_that_are_no_word_are_named():
+def test_bytes_that_are_no_message_are_named():
     with pytest.raises(ValueError, match="9 bytes; legal: 10"):
         words.read(b"123456789")
 
@@ -105,7 +105,7 @@
 
 
 class EffectHandler(list):
-    """Notes what the runner does outside."""
+    """Records the effects that the runner asks for."""
 
     def __getattr__(self, name):
         return lambda *args: self.append((name, args[-1]))
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -1,4 +1,4 @@
-"""A task on its way: who may go where, order by key, answers, the list."""
+"""The path of a task: where it may go, order by key, final answers, the list of stores."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
     DEDUPLICATED,
     IDEMPOTENT,
     add_samples,
-    facts,
-    grant_turn,
+    config,
     outcome,
+    run_until_granted,
     scheduler,
     store,
     task,
@@ -37,8 +37,8 @@
     at = store()
     brain, runtime = scheduler([at])
     run = brain.serve(task(runtime))
-    want = grant_turn(run, runtime, brain)
-    assert isinstance(want, HandOff) and want.store is at
+    action = run_until_granted(run, runtime, brain)
+    assert isinstance(action, HandOff) and action.store is at
     with pytest.raises(StopIteration):
         run.send(outcome(OutcomeKind.DELIVERED))
     node = brain.nodes[at]
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    "how, kind, category",
+    "outcome_kind, action, category",
     [
         (OutcomeKind.ERROR, BreakOff, AT_MOST_ONCE),
         (OutcomeKind.TIMED_OUT, BreakOff, AT_MOST_ONCE),
@@ -57,15 +57,15 @@
         (OutcomeKind.ERROR, Wait, IDEMPOTENT),
     ],
 )
-def test_after_an_outcome_only_what_is_legal_follows(how, kind, category):
+def test_after_an_outcome_only_allowed_actions_follow(outcome_kind, action, category):
     brain, runtime = scheduler([store()])
     run = brain.serve(task(runtime, category=category))
-    grant_turn(run, runtime, brain)
-    assert isinstance(run.send(outcome(how)), kind)
+    run_until_granted(run, runtime, brain)
+    assert isinstance(run.send(outcome(outcome_kind)), action)
 
 
 @pytest.mark.parametrize(
-    "scope, other, later, legal",
+    "scope, other, later, allowed",
     [
         (DeduplicationScope.SHARD, dict(shard=0), 10, True),
         (DeduplicationScope.SHARD, dict(shard=1), 10, False),
@@ -75,13 +75,13 @@
         (DeduplicationScope.ALL, dict(shard=0), 5_000, False),
     ],
 )
-def test_a_stamped_task_that_may_have_run_stays_in_its_group_and_window(scope, other, later, legal):
+def test_a_deduplicated_task_that_may_have_run_stays_in_its_scope_and_window(scope, other, later, allowed):
     first = store()
     brain, runtime = scheduler([first])
     repeat = task(runtime, category=replace(DEDUPLICATED, scope=scope))
     repeat.may_have_run.append((first, runtime.now))
     runtime.now += later
-    assert brain.may_go_to(repeat, store(**other)) is legal
+    assert brain.may_go_to(repeat, store(**other)) is allowed
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
         (replace(DEDUPLICATED, scope=DeduplicationScope.ALL), True, Nack),
     ],
 )
-def test_a_nack_is_given_only_where_its_promise_holds(category, ran, answer):
+def test_a_nack_is_given_only_where_a_repeat_is_safe(category, ran, answer):
     brain, runtime = scheduler([store()])
     given_up = task(runtime, category=category)
     if ran:
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("state", [StoreState.DRAINING, StoreState.GONE])
-def test_nothing_goes_to_a_node_that_leaves(state):
+def test_nothing_is_sent_to_a_node_that_is_draining_or_gone(state):
     at = store()
     brain, runtime = scheduler([at])
     node = brain.nodes[at]
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize(
-    "sent, extras, later, legal",
+    "sent, retries, later, allowed",
     [
         (0, 0, 0, True),
         (2, 0, 0, True),
@@ -136,21 +136,21 @@
         (0, 0, 10_000, False),
     ],
 )
-def test_a_hand_off_is_legal_only_within_tries_budget_and_time(sent, extras, later, legal):
+def test_a_hand_off_is_allowed_only_within_tries_budget_and_time(sent, retries, later, allowed):
     brain, runtime = scheduler([store()], retry_budget=RetryBudgetRule(span=50_000, free=1.0, share=0.0))
     runtime.now += 60_000
-    again = task(runtime)
-    again.hand_offs = sent
-    brain.retry_budget.retries.extend([runtime.now] * extras)
+    resent_task = task(runtime)
+    resent_task.hand_offs = sent
+    brain.retry_budget.retries.extend([runtime.now] * retries)
     runtime.now += later
-    assert brain.may_hand_off(again) is legal
+    assert brain.may_hand_off(resent_task) is allowed
 
 
-def test_what_is_no_longer_legal_at_the_turn_is_taken_back():
+def test_a_granted_hand_off_that_is_no_longer_allowed_is_taken_back():
     brain, runtime = scheduler([store()], retry_budget=RetryBudgetRule(span=50_000, free=1.0, share=0.0))
     runtime.now += 60_000
     run, node = brain.serve(task(runtime)), next(iter(brain.nodes.values()))
-    grant_turn(run, runtime, brain)
+    run_until_granted(run, runtime, brain)
     assert isinstance(run.send(outcome(OutcomeKind.ERROR)), Wait)
     brain.retry_budget.retries.append(runtime.now)
     runtime.now += 200
@@ -165,17 +165,17 @@
     runtime.now += 700
     first, second = task(runtime, category=ordered, key=9), task(runtime, category=ordered, key=9)
     run, other = brain.serve(first), brain.serve(second)
-    grant_turn(run, runtime, brain)
+    run_until_granted(run, runtime, brain)
     assert isinstance(next(other), Wait)
     runtime.woken.clear()
     with pytest.raises(StopIteration):
-        run.send(outcome(OutcomeKind.TIMED_OUT, over=True))
+        run.send(outcome(OutcomeKind.TIMED_OUT, answered=True))
     assert runtime.woken == [(second, WakeReason.RECHECK)]
     assert other.send(WakeReason.RECHECK) == Wait(runtime.now + 700)
 
 
-def test_failed_calls_for_the_list_are_spaced_out_within_what_counts_as_told():
-    """The list counts as told 6 s after it could be reached: half of it is left for a call that hangs and the next."""
+def test_failed_polls_of_the_list_are_spaced_out_within_the_reporting_time():
+    """A change counts as reported after 6 s: half of that is left for a call that hangs and the next one."""
     brain, runtime = scheduler([], listing=StoreListRule(True, 100_000, 10_000))
     assert runtime.list_requests == 1
     for _ in range(40):
@@ -188,8 +188,8 @@
     assert runtime.calls[-1][0] - runtime.now <= 15_000
 
 
-def test_a_pushed_list_that_ended_is_tried_anew_before_a_drain_s_grace_is_over():
-    """What whoever pushes holds meanwhile counts as told, and calls there cost nothing."""
+def test_a_pushed_list_that_ended_is_requested_again_within_the_drain_grace():
+    """What the sender of the list holds meanwhile counts as reported, and calls there cost nothing."""
     brain, runtime = scheduler([], listing=StoreListRule(False, 0, 5_000))
     for _ in range(8):
         brain.list_failed()
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize(
-    "remaining, aim",
+    "remaining, due",
     [
         (10_000, 2_500),
         (9_000, 1_500),
@@ -208,23 +208,23 @@
         (2_600, -4_900),
     ],
 )
-def test_the_soft_limit_runs_from_the_first_try_unless_patience_is_short(remaining, aim):
+def test_the_soft_limit_runs_from_the_first_try_unless_little_time_is_left(remaining, due):
     brain, runtime = scheduler([store()])
     usual, further = task(runtime), task(runtime)
     further.deadline = runtime.now + remaining
     assert brain.soft_deadline(usual) == runtime.now + 2_500
-    assert brain.soft_deadline(further) == runtime.now + aim
+    assert brain.soft_deadline(further) == runtime.now + due
 
 
-@pytest.mark.parametrize("wait, want", [(0, Wait), (5_000, Nack)])
-def test_a_task_late_already_goes_only_where_nothing_waits(wait, want):
+@pytest.mark.parametrize("delay, action", [(0, Wait), (5_000, Nack)])
+def test_a_task_past_its_soft_limit_is_sent_only_where_nothing_queues(delay, action):
     brain, runtime = scheduler([store()])
     next(brain.serve(task(runtime)))
-    brain.delays.record(next(iter(brain.nodes)), runtime.now, wait)
+    brain.delays.record(next(iter(brain.nodes)), runtime.now, delay)
     late, node = task(runtime), next(iter(brain.nodes.values()))
     late.deadline = runtime.now + 5_000
-    add_samples(node, *[100] * 8, *[100 + wait] * 4)
-    assert isinstance(next(brain.serve(late)), want)
+    add_samples(node, *[100] * 8, *[100 + delay] * 4)
+    assert isinstance(next(brain.serve(late)), action)
 
 
 def test_a_replacement_under_a_new_id_takes_the_shard_over():
@@ -238,7 +238,7 @@
 
 
 @pytest.mark.parametrize("signal", [WakeReason.TIMER, WakeReason.GRANTED])
-def test_a_wake_up_far_past_its_time_sends_nothing(signal):
+def test_a_task_woken_after_its_deadline_is_not_sent(signal):
     brain, runtime = scheduler([store()])
     next(iter(brain.nodes.values())).in_flight = 1
     run = brain.serve(task(runtime))
@@ -249,14 +249,14 @@
     assert isinstance(run.send(signal), Nack)
 
 
-def test_two_instances_with_one_seed_act_alike():
+def test_two_schedulers_with_one_seed_rank_alike():
     brain, runtime = scheduler([store(shard) for shard in range(5)])
-    other = Scheduler(facts(), 1, runtime)
+    other = Scheduler(config(), 1, runtime)
     other.list_changed([store(shard) for shard in range(5)], confirmed=True)
     assert [n.store.shard for n in brain.ranked] == [n.store.shard for n in other.ranked]
 
 
-def test_no_key_is_used_until_those_of_an_earlier_life_have_rested():
+def test_no_key_is_used_until_it_has_rested_since_an_earlier_process():
     ordered = replace(IDEMPOTENT, ordered=True)
     brain, runtime = scheduler([store()], key_rest=700)
     run = brain.serve(task(runtime, category=ordered, key=9))
@@ -264,4 +264,4 @@
     runtime.now += 700
     assert (
         isinstance(run.send(WakeReason.TIMER), Wait) and runtime.woken[-1][1] is WakeReason.GRANTED
-    )  # it is its node's turn now
+    )  # its node has granted it
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builds the state that a test needs: facts, a desk that only notes, stores, tasks."""
+"""Builds what a scheduler test needs: a configuration, a recording runtime, stores, tasks."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Runtime:
-    """A desk that notes what it is asked and moves only when told."""
+    """Records the calls of the scheduler. Its clock moves only when the test sets it."""
 
     def __init__(self) -> None:
         self.now, self.shares = 1_000_000, EvenShares()
@@ -63,7 +63,8 @@
         self.log_lines.append(text)
 
 
-def facts(**changes: Any) -> SchedulerConfig:
+def config(**changes: Any) -> SchedulerConfig:
+    """A configuration of two gateways, with changes by field."""
     base: dict[str, Any] = dict(
         gateways=2,
         gateway_index=0,
@@ -83,6 +84,7 @@
 
 
 def store(shard: int = 0, **changes: Any) -> Store:
+    """A ready store, with changes by field."""
     made = Store(f"store-{shard}", shard=shard, state=StoreState.READY)
     for name, value in changes.items():
         setattr(made, name, value)
@@ -90,8 +92,9 @@
 
 
 def scheduler(stores: list[Store], **changes: Any) -> tuple[Scheduler, Runtime]:
+    """A scheduler that knows these stores, and its runtime; `changes` are of its configuration."""
     runtime = Runtime()
-    made = Scheduler(facts(**changes), 1, runtime)
+    made = Scheduler(config(**changes), 1, runtime)
     made.list_changed(stores, confirmed=True)
     return made, runtime
 
@@ -104,22 +107,25 @@
     key: int = 0,
     volume: Volume | None = None,
 ) -> Task:
+    """A task that has just come."""
     return Task(
         "t", category, volume or Volume("v", PLAN, 1.0), units, shard, key, runtime.now, runtime.now + category.deadline
     )
 
 
-def outcome(how: OutcomeKind, lag: int = 100, over: bool | None = None) -> Outcome:
-    return Outcome(how, lag, how is OutcomeKind.DELIVERED if over is None else over)
+def outcome(kind: OutcomeKind, latency: int = 100, answered: bool | None = None) -> Outcome:
+    """An outcome; a delivery has answered the task."""
+    return Outcome(kind, latency, kind is OutcomeKind.DELIVERED if answered is None else answered)
 
 
-def add_samples(node, *lags):
-    for lag in lags:
-        node.add_sample(lag, 2.0)
+def add_samples(node, *latencies):
+    """Add samples of usual tasks with these latencies."""
+    for latency in latencies:
+        node.add_sample(latency, 2.0)
 
 
-def grant_turn(run, runtime, brain):
-    """Start a task and give it its turn; returns what it then wants."""
+def run_until_granted(run, runtime, brain):
+    """Start a task and run rounds until it is granted; returns its next action."""
     assert isinstance(next(run), Wait)
     runtime.now += 200
     for node in brain.nodes.values():
