--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -43,7 +43,7 @@
 
 
 class World:
-    """The runner's door: hand-offs come back after LAG, reminders when they are due."""
+    """The runner's effect handler: hand-offs come back after LAG, timers when they are due."""
 
     def __init__(self, nodes: int, volumes: int, reserved: bool) -> None:
         read = Category(
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -54,7 +54,7 @@
 
 
 class Instance:
-    """One gateway's decisions behind the wire: the runner's door and the owner of all its objects."""
+    """One gateway's decisions behind the wire: the runner's effect handler and the owner of all its objects."""
 
     def __init__(self, who: int, facts: SchedulerConfig, seed: int, outbox: wire.Outbox, clock: int) -> None:
         self.who = who
