--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -16,10 +16,11 @@
 from .cold import DEMAND_SHARE, ROUND, SECOND, SlowStart
 from .rates import SAMPLE_LIFETIME, TARGET_SHARE, QueueDelays, StoreMeasurements
 
-BUCKET_LIFETIME, MIN_SLICE_SHARE = SECOND, 0.1  # the bucket's; least fraction of the rate for slices (design)
+# How often the bucket is emptied; least fraction of the rate that slices share (design).
+BUCKET_LIFETIME, MIN_SLICE_SHARE = SECOND, 0.1
 DEFICIT_LIMIT, DONATED_SHARE = 50.0, 0.9  # tokens; fraction of a reserve's surplus that is donated (paper)
 READ_COST, WRITE_COST, MAX_IN_FLIGHT = 1.0, 1.5, 24  # tokens for a unit; hand-offs at a node (design: 32)
-RATE_DOUBLING_TIME = 2_000  # about, while tasks are held and the latency is far under its target
+RATE_DOUBLING_TIME = 2_000  # of a rate that holds tasks back while the latency is far under its target
 RATE_DECREASE, MAX_RATE_DECREASE = 0.2, 0.9  # fraction lost at twice the target latency; the most at once
 # How long an idle queue is kept; a store is not cold that answers within so many times a unit's usual time.
 IDLE_QUEUE_LIFETIME, WARM_LATENCY_FACTOR = 600 * SECOND, 2
@@ -33,7 +34,7 @@
     def __init__(self, node: Node, number: int, volume: Volume) -> None:
         self.node, self.number, self.volume = node, number, volume  # number: its place in the round
         self.held: deque[Task] = deque()
-        self.total_reserve = volume.plan.reserve / SECOND  # tokens a tenth, over all gateways and nodes
+        self.total_reserve = volume.plan.reserve / SECOND  # read tokens a tenth, over all gateways and nodes
         # This gateway's and node's part of that rate; what it has earned; tokens of slices.
         self.reserve = self.balance = self.tokens = 0.0
         # Up to when `balance`, and up to which sum of slices `tokens`, are computed.
@@ -89,7 +90,7 @@
         self.debt_heap = list[tuple[float, int, VolumeQueue]]()
         # Reserves of all queues and of the full ones; the sum of all slices that one queue could have got.
         self.reserve = self.full_rate = self.full_span = self.slice_sum = 0.0
-        # round_start: the number of the queue where the next round of slices starts
+        # heap_count: breaks ties in heaps; round_start: number of the queue where the next round starts
         self.queue_count = self.heap_count = self.round_start = 0
         self.bucket, self.in_flight, self.tokens_out, self.held_count, self.held_tokens = 0.0, 0, 0.0, 0, 0.0
         self.accrued_at = self.bucket_ends = runtime.now
--- a/tansykeel/brain/rates.py
+++ b/tansykeel/brain/rates.py
@@ -90,10 +90,7 @@
         self.unit_time = times[len(times) // 4]  # time for one unit when nothing queues: the first quartile
 
     def queueing_delay(self) -> float:
-        """How long the last hand-offs queued; without fresh samples the median of other nodes.
-
-        The paper uses the average there.
-        """
+        """How long the last hand-offs queued; without fresh samples the median of others (design: mean)."""
         now = self.runtime.now
         if self._delay_inputs != (inputs := (now, self.version, self.delays.version)):
             self._delay_inputs = inputs
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -51,9 +51,8 @@
             random.Random(seed),
             runtime.now,
         )
-        self.fleet_is_new: bool | None = (
-            None  # whether all gateways have just started; None until one has replied
-        )
+        # Whether all gateways have just started; None until another one has said so or not.
+        self.fleet_is_new: bool | None = None
         if config.allowed.peers:
             runtime.call_at(runtime.now, lambda: runtime.send_to_peer(None, PeerMessage(None, 0.0, False)))
         self.soft_limit = min(category.soft_limit for category in config.categories)  # the tightest
@@ -66,9 +65,7 @@
             0,
         )
         self.retry_budget = RetryBudget(config.retry_budget, runtime.now) if config.retry_budget else None
-        self.time_left: dict[
-            Category, deque[int]
-        ] = {}  # until the deadlines of the last tasks, when they came
+        self.time_left: dict[Category, deque[int]] = {}  # the last tasks' times to their deadlines
         if config.listing.must_poll:
             runtime.request_store_list()
 
@@ -151,7 +148,11 @@
         self.ranked = sorted(ready, key=lambda node: (expected_time(node), self.rng.uniform(0, 1)))
 
     def node_for(self, task: Task) -> Node | None:
-        """The node of the task's shard; for a new object the best one by rank that stays filled to half."""
+        """The node of the task's shard, or one for a new object.
+
+        That is the best one by rank which the task fills to half its bound at most, else the one with the least
+        work for its rate.
+        """
         if task.shard is not None:
             return self.by_shard.get(task.shard)
         if self.runtime.now >= self.next_rank_at:
@@ -199,7 +200,7 @@
                     break
                 legal = self.may_hand_off(task) and self.may_go_to(task, node.store)
                 if not legal or self.limit_wait(task, state):
-                    # The limit is charged now: if held tasks were charged, they could leave in one burst.
+                    # The limit is charged only now: charging held tasks let them leave in one burst.
                     node.take_back(task)
                     continue
                 self.spend(task, queue, state)
@@ -249,7 +250,8 @@
     def soft_deadline(self, task: Task) -> int:
         """When the soft limit ends, counted from the client's first try.
 
-        A task with less time left than others of its category is taken for a later try.
+        A task with less time left than others of its category is taken for a later try. With less left than the
+        soft limit nothing can be told.
         """
         times = self.time_left.setdefault(task.category, deque(maxlen=SAMPLE_COUNT))
         times.append(task.deadline - self.runtime.now)
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -146,10 +146,10 @@
 
     handle: Any  # the caller's id for the store
     zone: int = 0
-    kind: int = 0
-    shard: int = -1
+    kind: int = 0  # as listed; not used by the scheduler
+    shard: int = -1  # whose data it holds
     state: StoreState = StoreState.GONE
-    nominal: float = 1.0
+    nominal: float = 1.0  # as listed; not used by the scheduler
     started: int = 0  # when it started, 0 if that is not known
 
 
