--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -45,9 +45,9 @@
 
 def play(edges: int, seed: int, given: argparse.Namespace) -> str:
     stores, restart = given.stores, given.restart
-    nodes.DEMAND_SHARE, cold_module.EVEN_SHARE = (
-        given.by_asked or nodes.DEMAND_SHARE,
-        given.even or cold_module.EVEN_SHARE,
+    nodes.DEMAND_PART, cold_module.EVEN_PART = (
+        given.by_asked or nodes.DEMAND_PART,
+        given.even or cold_module.EVEN_PART,
     )
     day = day_of(
         given.script,
--- a/tansykeel/brain/cold.py
+++ b/tansykeel/brain/cold.py
@@ -7,7 +7,7 @@
 # Rounds run every 10 ms (design). At a cold node they wait until the next task has room, at most so long.
 SECOND, ROUND, MAX_ROUND_DELAY = 10_000, 100, 1_000
 # Fractions of what a cold store bears: shared evenly; sent by demand. The time in which a start is reported.
-EVEN_SHARE, DEMAND_SHARE, START_REPORTED_WITHIN = 0.2, 0.8, 6 * SECOND
+EVEN_PART, DEMAND_PART, START_REPORTED_WITHIN = 0.2, 0.8, 6 * SECOND
 SPANS_REMEMBERED = 4  # spans of the rule from which the demand for a store is estimated
 MIN_TASKS_IN_SPAN = 3  # largest tasks; with fewer, one gateway's requests say nothing of the fleet's demand
 
@@ -57,7 +57,7 @@
         while self._credited and self._credited[0][0] <= now - self.span:
             self._total -= self._credited.pop(0)[1]
         rate = min(self.planned_rate, self.demand.rate())
-        return max(DEMAND_SHARE * capacity * rate * self.span, self.minimum) - self._total
+        return max(DEMAND_PART * capacity * rate * self.span, self.minimum) - self._total
 
     def spend(self, now: int, units: float) -> None:
         """Count units that are credited now."""
@@ -77,7 +77,7 @@
         # Units that this gateway gets evenly in a span at first. A task goes at this fraction of its units in
         # credit: it differs between gateways, so that the first tasks of several hundred don't come together.
         self.even_units, self.phase = (
-            EVEN_SHARE * rule.always_safe / max(gateways, 1),
+            EVEN_PART * rule.always_safe / max(gateways, 1),
             (gateway_index + 0.5) / max(gateways, 1),
         )
         # When the task that was last refused will find room; when the store may have restarted unreported.
--- a/tansykeel/brain/nodes.py
+++ b/tansykeel/brain/nodes.py
@@ -13,7 +13,7 @@
 
 from tansykeel.interface import Outcome, OutcomeKind, Runtime, Store, StoreState, Task, Volume, WakeReason
 
-from .cold import DEMAND_SHARE, ROUND, SECOND, SlowStart
+from .cold import DEMAND_PART, ROUND, SECOND, SlowStart
 from .rates import SAMPLE_LIFETIME, TARGET_SHARE, QueueDelays, StoreMeasurements
 
 # How often the bucket is emptied; least fraction of the rate that slices share (design).
@@ -133,7 +133,7 @@
                 and self.samples[-1][0] >= self.runtime.now - SAMPLE_LIFETIME
                 and self.headroom() > 0
             )
-            credit = DEMAND_SHARE * capacity * counted * (self.slow_start.rule.multiple if no_queue else 1)
+            credit = DEMAND_PART * capacity * counted * (self.slow_start.rule.multiple if no_queue else 1)
             self.slow_start.add_credit(credit, self.runtime.now, capacity)
 
     def enqueue(self, queue: VolumeQueue, task: Task) -> None:
--- a/tests/brain/test_cold.py
+++ b/tests/brain/test_cold.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import PLAN, add_samples, outcome, scheduler, store, task
 
-from tansykeel.brain.cold import DEMAND_SHARE, SlowStart
+from tansykeel.brain.cold import DEMAND_PART, SlowStart
 from tansykeel.interface import (
     OutcomeKind,
     SlowStartRule,
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize(
     "no_queue, age, share",
     [
-        (False, 100, DEMAND_SHARE * 2.5 * 0.2),
-        (True, 100, DEMAND_SHARE * 2.5 * 0.2 * 2.5),
-        (False, 100_000, DEMAND_SHARE * 2.5 * 0.2 * 3),
+        (False, 100, DEMAND_PART * 2.5 * 0.2),
+        (True, 100, DEMAND_PART * 2.5 * 0.2 * 2.5),
+        (False, 100_000, DEMAND_PART * 2.5 * 0.2 * 3),
     ],
 )
 def test_demand_for_a_cold_store_brings_credit_by_its_capacity(no_queue, age, share):
@@ -105,7 +105,7 @@
         credited += credit_of_first_try(brain, runtime, node, volume)
         runtime.now += 100
     # One largest task at once, and a second at the rate the volume is sized for, of which this gateway has half.
-    assert credited == pytest.approx(DEMAND_SHARE * 2.5 * 0.2 * (8.0 + 2.0), rel=0.05)
+    assert credited == pytest.approx(DEMAND_PART * 2.5 * 0.2 * (8.0 + 2.0), rel=0.05)
 
 
 def test_a_volume_on_two_shards_counts_with_half_of_its_rate_at_each():
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -9,7 +9,7 @@
 import pytest
 from stage import FakeStore, deliver, hang, play, reset, staged, tell, until
 
-from tansykeel.brain.cold import DEMAND_SHARE
+from tansykeel.brain.cold import DEMAND_PART
 from tansykeel.protocol.frames import Cancel, Cut, Error, Goodbye, OutcomeOf, TaskOf
 
 DELIVERED, NACKED, BROKEN_OFF = 0, 1, 2
@@ -240,9 +240,7 @@
             client = await stage.client()
             results = [(await client.answer(client.ask(size=1, patience=0.5))).result for _ in range(12)]
             # Of what is asked it bears 2 * 0.2, and twice that with no queue there, and a little by time.
-            assert (
-                NACKED in results and 1 <= sum(h.units for h in store.handed) <= 12 * DEMAND_SHARE * 2 * 2 * 0.2 + 1.5
-            )
+            assert NACKED in results and 1 <= sum(h.units for h in store.handed) <= 12 * DEMAND_PART * 2 * 2 * 0.2 + 1.5
             assert stage.edge.core.counts.outcomes["moot"] == 1  # granted before the hello, not sent
 
     play(go())
