--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -150,8 +150,8 @@
     def node_for(self, task: Task) -> Node | None:
         """The node of the task's shard, or one for a new object.
 
-        That is the best one by rank which the task fills to half its bound at most, else the one with the least
-        work for its rate.
+        That is the best one by rank which the task fills to half its bound at most, else the one with the
+        least work for its rate.
         """
         if task.shard is not None:
             return self.by_shard.get(task.shard)
@@ -250,8 +250,8 @@
     def soft_deadline(self, task: Task) -> int:
         """When the soft limit ends, counted from the client's first try.
 
-        A task with less time left than others of its category is taken for a later try. With less left than the
-        soft limit nothing can be told.
+        A task with less time left than others of its category is taken for a later try. With less left than
+        the soft limit nothing can be told.
         """
         times = self.time_left.setdefault(task.category, deque(maxlen=SAMPLE_COUNT))
         times.append(task.deadline - self.runtime.now)
