--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -119,7 +119,7 @@
         if how is OutcomeKind.DELIVERED or event.final:
             del self.tasks[event.id]
         used = event.used - 1 if event.used else None
-        elsewhere = event.elsewhere if self.facts.tells_elsewhere else None
+        elsewhere = event.elsewhere if self.facts.reports_use_elsewhere else None
         self.runner.outcome(task, Outcome(how, _ceil(event.lag), bool(event.final), used, elsewhere, event.report))
 
     def heard(self, event: wire.Heard) -> None:
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -167,7 +167,7 @@
             lag,
             held.answered,
             used if used >= 0 else None,
-            elsewhere if self.facts.tells_elsewhere else None,
+            elsewhere if self.facts.reports_use_elsewhere else None,
             report,
         )
         self.runner.outcome(held.task, told)
--- a/tansykeel/interface.py
+++ b/tansykeel/interface.py
@@ -137,7 +137,7 @@
     retry_budget: RetryBudgetRule | None
     key_rest: int  # how long a key is not used after a hand-off that may still be executing
     report_fields: tuple[str, ...]  # names of the values in Outcome.report
-    tells_elsewhere: bool = False  # answers carry Outcome.used_elsewhere
+    reports_use_elsewhere: bool = False  # answers carry Outcome.used_elsewhere
 
 
 @dataclass(eq=False, slots=True)
--- a/tansykeel/settings/build.py
+++ b/tansykeel/settings/build.py
@@ -300,7 +300,7 @@
         else None,
         key_rest=make.ceil(rules.key_rest_ms * MS),
         report_fields=(),
-        tells_elsewhere=rules.tells == "node",
+        reports_use_elsewhere=rules.tells == "node",
     )
 
 
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -114,5 +114,5 @@
         retry_budget=budget,
         key_rest=ceil(rules.get("KeyQuiet") or 0),
         report_fields=tuple((raw.get("Report") or {}).get("Fields") or ()),
-        tells_elsewhere=bool(specifics.get("TellsElsewhere")),
+        reports_use_elsewhere=bool(specifics.get("TellsElsewhere")),
     )
--- a/tests/settings/test_move.py
+++ b/tests/settings/test_move.py
@@ -46,7 +46,7 @@
         assert getattr(after, part) == getattr(before, part)
     assert after.peers is not None and after.peers.addresses == TWO
     facts = facts_of(after, 1, 2)
-    assert (facts.allowed.peers, facts.tells_elsewhere) == (True, False)
+    assert (facts.allowed.peers, facts.reports_use_elsewhere) == (True, False)
     assert "comments: 1" in result.output and "loops" in result.output
 
 
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("tells, elsewhere", [("node", True), ("fleet", False)])
 def test_what_stores_tell_of_a_volumes_use_comes_from_the_script(written, tells, elsewhere):
     made = load(written(GOOD.replace("rules(", f'rules(tells="{tells}", ')))
-    assert facts_of(made, 0, 1).tells_elsewhere is elsewhere
+    assert facts_of(made, 0, 1).reports_use_elsewhere is elsewhere
 
 
 def test_peers_name_each_gateway_once(written):
