--- a/benchmarks/cold_fleet.py
+++ b/benchmarks/cold_fleet.py
@@ -45,7 +45,10 @@
 
 def play(edges: int, seed: int, given: argparse.Namespace) -> str:
     stores, restart = given.stores, given.restart
-    nodes.BY_ASKED, cold_module.EVEN = given.by_asked or nodes.BY_ASKED, given.even or cold_module.EVEN
+    nodes.DEMAND_PART, cold_module.EVEN_PART = (
+        given.by_asked or nodes.DEMAND_PART,
+        given.even or cold_module.EVEN_PART,
+    )
     day = day_of(
         given.script,
         30.0,
@@ -69,7 +72,7 @@
     world = World(day, seed)
     world.play()
     passed = world.passed
-    cold = law_of(day).facts.cold
+    cold = law_of(day).facts.slow_start
     usual, warm = mean_units(day), cold.warm_after * 100
 
     def budget(age: float) -> float:
--- a/benchmarks/module_cost.py
+++ b/benchmarks/module_cost.py
@@ -21,19 +21,19 @@
 
 from tansykeel.brain import Scheduler  # noqa: E402
 from tansykeel.interface import (  # noqa: E402
-    Allowed,
+    AllowedActions,
     Category,
-    Facts,
-    How,
-    Listing,
+    DeduplicationScope,
     Outcome,
+    OutcomeKind,
     Plan,
-    Repeat,
-    Scope,
-    Sizes,
-    State,
+    RepeatSafety,
+    SchedulerConfig,
     Store,
+    StoreListRule,
+    StoreState,
     Task,
+    TaskSizes,
     Volume,
 )
 from tansykeel.runner import Runner  # noqa: E402
@@ -43,20 +43,22 @@
 
 
 class World:
-    """The runner's door: hand-offs come back after LAG, reminders when they are due."""
+    """The runner's effect handler: hand-offs come back after LAG, timers when they are due."""
 
     def __init__(self, nodes: int, volumes: int, reserved: bool) -> None:
-        read = Category("read", 3_000, 20_000, 1.0, 0.1, Repeat.HARMLESS, Scope.ALL, 0, False, False, 0.0)
+        read = Category(
+            "read", 3_000, 20_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, DeduplicationScope.ALL, 0, False, False, 0.0
+        )
         plan = Plan("p", 10.0, 2.0 if reserved else 0.0, 1.0, 1.0, 0.0, 0.0, 0.0)
-        facts = Facts(
+        facts = SchedulerConfig(
             2,
             0,
             0,
             (read,),
             (plan,),
-            Sizes(8.0, 2.0),
-            Allowed(3, True, 1_000, False, True, False),
-            Listing(False, 0, 5_000),
+            TaskSizes(8.0, 2.0),
+            AllowedActions(3, True, 1_000, False, True, False),
+            StoreListRule(False, 0, 5_000),
             50,
             None,
             None,
@@ -67,7 +69,7 @@
         self.now, self.events, self.count, self.done = 10**6, [], 0, 0
         self.runner = Runner(self, self.now)
         self.brain = Scheduler(facts, 1, self.runner)
-        self.stores = [Store(n, shard=n, state=State.READY) for n in range(nodes)]
+        self.stores = [Store(n, shard=n, state=StoreState.READY) for n in range(nodes)]
         self.brain.list_changed(self.stores, True)
         self.volumes = [Volume(n, plan, 2.0) for n in range(volumes)]
         self.category, self.draw = read, random.Random(5)
@@ -93,31 +95,31 @@
         while self.events and self.events[0][0] <= moment:
             at, _, (kind, *rest) = heapq.heappop(self.events)
             self.now = max(self.now, at)
-            self.runner.move(self.now)
+            self.runner.advance_clock(self.now)
             if kind == "remind":
-                self.runner.reminded()
+                self.runner.timer_fired()
             else:
                 self.done += 1
-                self.runner.outcome(rest[0], Outcome(How.DELIVERED, LAG, True, None, 1))
+                self.runner.outcome(rest[0], Outcome(OutcomeKind.DELIVERED, LAG, True, None, 1))
         self.now = moment
-        self.runner.move(moment)
+        self.runner.advance_clock(moment)
 
-    def hand_off(self, task: Task, store: Store, time_out: int) -> None:
+    def hand_off(self, task: Task, store: Store, timeout: int) -> None:
         self.push(self.now + LAG, "outcome", task)
 
-    def remind(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         self.push(at, "remind")
 
-    def nack(self, task: Task, come_back: int) -> None:
+    def nack(self, task: Task, retry_after: int) -> None:
         pass
 
     def break_off(self, task: Task) -> None:
         pass
 
-    def watch(self) -> None:
+    def request_store_list(self) -> None:
         pass
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         pass
 
 
--- a/tansykeel/audit/rules.py
+++ b/tansykeel/audit/rules.py
@@ -12,7 +12,7 @@
 
 from tansykeel.audit.join import READY, HandOff, Passed, TaskSeen
 from tansykeel.audit.records import Up
-from tansykeel.interface import Category, Facts, Plan, Repeat, Scope
+from tansykeel.interface import Category, DeduplicationScope, Plan, RepeatSafety, SchedulerConfig
 from tansykeel.settings.shape import Shape, borne
 
 SLACK = 250_000  # microseconds
@@ -30,7 +30,7 @@
 class Law(NamedTuple):
     """What the rules' figures are on this day."""
 
-    facts: Facts
+    facts: SchedulerConfig
     shape: Shape
     plan_of: dict[str, Plan]  # by volume
 
@@ -78,15 +78,15 @@
     effects: dict[int, int] = defaultdict(int)
     for task, seen in passed.tasks.items():
         category = law.category(seen.sent.category)
-        if category.repeat is Repeat.HARMLESS:
+        if category.repeat is RepeatSafety.IDEMPOTENT:
             continue
         effects[seen.sent.mark] += sum(h.effect for h in seen.hand_offs)
         may_have_run = [h for h in seen.hand_offs if not h.never_ran]
-        if category.repeat is Repeat.ONE_SHOT:
+        if category.repeat is RepeatSafety.AT_MOST_ONCE:
             for hand_off in seen.hand_offs:
                 if any(other.at < hand_off.at and other.number < hand_off.number for other in may_have_run):
                     yield Break(rule, f"{hand_off.edge} sent a one-shot task again that may have run", task)
-        sure = category.repeat is Repeat.STAMPED and category.scope is Scope.ALL
+        sure = category.repeat is RepeatSafety.DEDUPLICATED and category.scope is DeduplicationScope.ALL
         if may_have_run and not sure and any(got.result == NACKED for got in seen.got):
             yield Break(rule, f"{seen.sent.edge} nacked a task that may have run", task)
     for mark, count in effects.items():
@@ -153,7 +153,7 @@
 
 def cold_margins(passed: Passed, law: Law) -> Iterator[tuple[Up, float, int]]:
     """For each cold start the most that was sent in a window, as a part of what is borne, and when."""
-    cold = law.facts.cold
+    cold = law.facts.slow_start
     if cold is None:
         return
     span, shape = cold.span * TENTH, law.shape
@@ -215,7 +215,7 @@
 
 def budget(passed: Passed, law: Law) -> Iterator[Break]:
     """Rule 6: further hand-offs of an edge in any window within the stated few and share of the tasks it took."""
-    rule = law.facts.budget
+    rule = law.facts.retry_budget
     if rule is None:
         return
     span, jitter = rule.span * TENTH, SLACK / 5
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -10,14 +10,14 @@
 from tansykeel.benchlink import wire, words
 from tansykeel.brain import Scheduler
 from tansykeel.interface import (
-    Facts,
-    How,
     Outcome,
-    State,
+    OutcomeKind,
+    PeerMessage,
+    SchedulerConfig,
     Store,
+    StoreState,
     Task,
     Volume,
-    Word,
 )
 from tansykeel.runner import Runner
 from tansykeel.settings import given
@@ -25,16 +25,16 @@
 from tansykeel.settings.facts import ceil as _ceil
 from tansykeel.settings.facts import floor as _floor
 
-STATES = {0: State.GONE, 1: State.READY, 2: State.DRAINING}
+STATES = {0: StoreState.GONE, 1: StoreState.READY, 2: StoreState.DRAINING}
 HOWS = {
-    100: How.DELIVERED,
-    301: How.ERROR,
-    302: How.FULL,
-    303: How.TIMED_OUT,
-    304: How.NO_CONNECTION,
-    305: How.RESET,
-    306: How.CANCELLED,
-    307: How.MOOT,
+    100: OutcomeKind.DELIVERED,
+    301: OutcomeKind.ERROR,
+    302: OutcomeKind.QUEUE_FULL,
+    303: OutcomeKind.TIMED_OUT,
+    304: OutcomeKind.NO_CONNECTION,
+    305: OutcomeKind.RESET,
+    306: OutcomeKind.CANCELLED,
+    307: OutcomeKind.NOT_EXECUTED,
 }
 
 
@@ -44,7 +44,7 @@
     return table[value]
 
 
-def read_facts(text: bytes) -> Facts:
+def read_facts(text: bytes) -> SchedulerConfig:
     try:
         return given.facts_of(json.loads(text))
     except given.NotLegal as error:
@@ -54,9 +54,9 @@
 
 
 class Instance:
-    """One gateway's decisions behind the wire: the runner's door and the owner of all its objects."""
+    """One gateway's decisions behind the wire: the runner's effect handler and the owner of all its objects."""
 
-    def __init__(self, who: int, facts: Facts, seed: int, outbox: wire.Outbox, clock: int) -> None:
+    def __init__(self, who: int, facts: SchedulerConfig, seed: int, outbox: wire.Outbox, clock: int) -> None:
         self.who = who
         self.facts = facts
         self.outbox = outbox
@@ -69,7 +69,7 @@
 
     def move(self, clock: int) -> None:
         self.clock = clock
-        self.runner.move(_floor(clock))
+        self.runner.advance_clock(_floor(clock))
 
     def update(self, event: wire.Update, entries: list[wire.Entry]) -> None:
         if event.scope == 0:
@@ -79,9 +79,9 @@
             if event.scope != 1:
                 for store in self.stores.values():
                     if store not in listed:
-                        store.state = State.GONE
+                        store.state = StoreState.GONE
             self.brain.list_changed(list(self.stores.values()), confirmed=event.scope != 2)
-        self.runner.settle()
+        self.runner.run_pending()
 
     def _store(self, entry: wire.Entry) -> Store:
         store = self.stores.setdefault(entry.store, Store(entry.store))
@@ -106,7 +106,7 @@
             key=event.key,
             arrived=self.runner.now,
             deadline=_floor(event.not_after),
-            again=bool(event.bits & 2),
+            resent=bool(event.bits & 2),
         )
         self.tasks[event.id] = task
         self.runner.start(task, self.brain.serve(task))
@@ -116,10 +116,10 @@
         task = self.tasks.get(event.id)
         if task is None:
             return
-        if how is How.DELIVERED or event.final:
+        if how is OutcomeKind.DELIVERED or event.final:
             del self.tasks[event.id]
         used = event.used - 1 if event.used else None
-        elsewhere = event.elsewhere if self.facts.tells_elsewhere else None
+        elsewhere = event.elsewhere if self.facts.reports_use_elsewhere else None
         self.runner.outcome(task, Outcome(how, _ceil(event.lag), bool(event.final), used, elsewhere, event.report))
 
     def heard(self, event: wire.Heard) -> None:
@@ -129,41 +129,41 @@
             raise wire.Malformed(f"message of instance {event.sender}: {error}") from error
         volume = self.volumes.get(handle) if handle is not None else None
         if volume is not None or handle is None:  # else no task of it has come here: nothing to ask or give
-            self.brain.heard(event.sender, Word(volume, units, gift))
-        self.runner.settle()
+            self.brain.on_peer_message(event.sender, PeerMessage(volume, units, gift))
+        self.runner.run_pending()
 
     def dropped(self, event: wire.Dropped) -> None:
         task = self.tasks.get(event.id)
-        if task is not None and self.runner.left(task):
+        if task is not None and self.runner.client_left(task):
             del self.tasks[event.id]
 
     def reminder(self) -> None:
-        self.runner.reminded()
+        self.runner.timer_fired()
 
-    def hand_off(self, task: Task, store: Store, time_out: int) -> None:
-        self.outbox.transmit(self.who, task.handle, store.handle, time_out * TENTH)
+    def hand_off(self, task: Task, store: Store, timeout: int) -> None:
+        self.outbox.transmit(self.who, task.handle, store.handle, timeout * TENTH)
 
-    def nack(self, task: Task, come_back: int) -> None:
+    def nack(self, task: Task, retry_after: int) -> None:
         self.tasks.pop(task.handle, None)
-        self.outbox.decline(self.who, task.handle, come_back * TENTH)
+        self.outbox.decline(self.who, task.handle, retry_after * TENTH)
 
     def break_off(self, task: Task) -> None:
         self.tasks.pop(task.handle, None)
         self.outbox.lose(self.who, task.handle)
 
-    def remind(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         # From the exact clock, so that the reminder cannot come before the tenth it stands for.
         self.outbox.timer(self.who, max(at * TENTH - self.clock, 0), 0)
 
-    def watch(self) -> None:
+    def request_store_list(self) -> None:
         self.outbox.watch(self.who, True)
 
-    def tell(self, peer: int | None, word: Word) -> None:
+    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         whom = wire.EVERYONE if peer is None else peer
         volume = word.volume.handle if word.volume else None
-        self.outbox.tell(self.who, whom, words.write(volume, word.units, word.gift))
+        self.outbox.tell(self.who, whom, words.write(volume, word.units, word.is_grant))
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self.outbox.show(self.who, text)
 
 
--- a/tansykeel/brain/scheduler.py
+++ b/tansykeel/brain/scheduler.py
@@ -1,4 +1,4 @@
-"""The ordinary path of a task, who may go where, and how the list and other gateways are followed."""
+"""The path of a task, where it may go, and how the list of stores and other gateways are followed."""
 
 import random
 from collections import deque
@@ -7,301 +7,391 @@
 from tansykeel.interface import (
     BreakOff,
     Category,
-    Desk,
-    EvenParts,
-    Facts,
+    DeduplicationScope,
+    EvenShares,
     HandOff,
-    How,
     Nack,
     Outcome,
-    Repeat,
-    Scope,
-    Signal,
-    State,
+    OutcomeKind,
+    PeerMessage,
+    RepeatSafety,
+    Runtime,
+    SchedulerConfig,
     Store,
+    StoreState,
     Task,
+    TaskAction,
     Volume,
     Wait,
-    Want,
-    Word,
+    WakeReason,
 )
 
-from .cold import SECOND, TOLD, Young
-from .nodes import PATIENCE, Line, Node, cost_of
-from .rates import AIM_PART, SAMPLES, STALE, Waits
-from .volumes import Extras, KeyLine, VolumeState
+from .cold import SECOND, START_REPORTED_WITHIN, SlowStart
+from .nodes import LOST_AFTER_LATENCIES, Node, VolumeQueue, cost_of
+from .rates import OVERLOAD_LIFETIME, SAMPLE_COUNT, TARGET_SHARE, QueueDelays
+from .volumes import KeyQueue, RetryBudget, VolumeState
 
-MARGIN, MOST_MARGIN = 1.5, 0.75  # times the lag left to a held task's soft limit; at most this part of that
-RANKING = 500  # the ranking for new objects is renewed every 50 ms
-LEFT, NEW = 30 * SECOND, 2 * SECOND  # nodes gone are let go; gateways started within it: a new fleet
-ASK, ANEW = 800, 500  # when gateways asked for units have answered or will not; a pushed list is tried anew
-ASKED, ALL = 6, 6 * SECOND  # so many are asked at once; all gateways at most once in a while
+# A held task must have so many expected latencies left to its soft deadline, at most this part of its time.
+LATENCY_MARGIN, MAX_MARGIN_SHARE = 1.5, 0.75
+RANKING_INTERVAL = 500  # how often nodes are ranked for new objects: every 50 ms
+# How long a node is kept once its store is gone; gateways that all started within this time are a new fleet.
+GONE_LIFETIME, NEW_FLEET_WINDOW = 30 * SECOND, 2 * SECOND
+# When peers that were asked for units have replied or will not; the pause until a pushed list is tried again.
+PEER_REPLY_TIME, PUSH_RETRY_DELAY = 800, 500
+PEERS_PER_ASK, BROADCAST_INTERVAL = 6, 6 * SECOND  # asked at once; least time between asks of all gateways
 
 
 class Scheduler:
-    def __init__(self, facts: Facts, seed: int, desk: Desk) -> None:
-        self.facts, self.desk, self.chance, self.born = facts, desk, random.Random(seed), desk.now
-        self.new: bool | None = None  # whether all gateways are, where another has said so
-        if facts.allowed.peers:
-            desk.alarm(desk.now, lambda: desk.tell(None, Word(None, 0.0, False)))
-        self.tightest = min(category.soft_limit for category in facts.categories)
-        self.least, self.usual = max(facts.sizes.largest, 1.0), max(facts.sizes.usual, 1.0)
+    """Decides for one gateway: `serve` makes the generator of a task; the other methods take in events."""
+
+    def __init__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
+        self.config, self.runtime, self.rng, self.started_at = (
+            config,
+            runtime,
+            random.Random(seed),
+            runtime.now,
+        )
+        # Whether all gateways have just started; None until another one has said so or not.
+        self.fleet_is_new: bool | None = None
+        if config.allowed.peers:
+            runtime.call_at(runtime.now, lambda: runtime.send_to_peer(None, PeerMessage(None, 0.0, False)))
+        self.soft_limit = min(category.soft_limit for category in config.categories)  # the tightest
+        self.largest_task, self.usual = max(config.sizes.largest, 1.0), max(config.sizes.usual, 1.0)
         self.nodes, self.by_shard, self.ranked = dict[Store, Node](), dict[int, Node](), list[Node]()
-        self.waits, self.keys, self.asks, self.rank_due = Waits(), dict[int, KeyLine](), 0, 0
-        self.extras = Extras(facts.budget, desk.now) if facts.budget else None
-        self.patience: dict[Category, deque[int]] = {}  # of the last tasks: time left when they came
-        if facts.listing.must_ask:
-            desk.watch()
+        self.delays, self.keys, self.list_failures, self.next_rank_at = (
+            QueueDelays(),
+            dict[int, KeyQueue](),
+            0,
+            0,
+        )
+        self.retry_budget = RetryBudget(config.retry_budget, runtime.now) if config.retry_budget else None
+        self.time_left: dict[Category, deque[int]] = {}  # the last tasks' times to their deadlines
+        if config.listing.must_poll:
+            runtime.request_store_list()
 
     def list_changed(self, stores: list[Store], confirmed: bool) -> None:
-        self.asks = 0 if confirmed else self.asks
-        cold, gateways = self.facts.cold, self.facts.gateways
+        """Take in all known stores. `confirmed`: by the list itself, not only by a store or from memory."""
+        self.list_failures = 0 if confirmed else self.list_failures
+        rule, gateways = self.config.slow_start, self.config.gateways
         for store in stores:
-            if store not in self.nodes and store.state is not State.GONE:
-                young = Young(cold, gateways, self.facts.me, self.least) if cold else None
+            if store not in self.nodes and store.state is not StoreState.GONE:
+                slow_start = (
+                    SlowStart(rule, gateways, self.config.gateway_index, self.largest_task) if rule else None
+                )
                 self.nodes[store] = Node(
                     store,
-                    self.desk,
+                    self.runtime,
                     self.average_rate(),
-                    self.least,
+                    self.largest_task,
                     self.usual,
-                    self.tightest,
-                    young,
-                    self.waits,
+                    self.soft_limit,
+                    slow_start,
+                    self.delays,
                     gateways,
                 )
-        for node in [n for n in self.nodes.values() if n.store.state is State.GONE]:
-            if not node.out and not node.held and self.desk.now - node.heard >= LEFT:
+        for node in [n for n in self.nodes.values() if n.store.state is StoreState.GONE]:
+            if (
+                not node.in_flight
+                and not node.held_count
+                and self.runtime.now - node.last_heard >= GONE_LIFETIME
+            ):
                 del self.nodes[node.store]
-                self.waits.seen.pop(node.store, None)
+                self.delays.by_store.pop(node.store, None)
         self.by_shard = {}
         for node in self.nodes.values():
             best = self.by_shard.get(node.store.shard)
-            if node.store.state is State.READY and (best is None or node.store.started >= best.store.started):
+            if node.store.state is StoreState.READY and (
+                best is None or node.store.started >= best.store.started
+            ):
                 self.by_shard[node.store.shard] = node
         self.rank()
         for node in list(self.nodes.values()):
             if self.by_shard.get(node.store.shard) is node:
-                node.round()
+                node.run_round()
                 continue
-            for task in [task for line in node.lines.values() for task in line.held]:
-                self.desk.wake(task, Signal.MOVED)
+            for task in [task for queue in node.queues.values() for task in queue.held]:
+                self.runtime.wake(task, WakeReason.RECHECK)
 
     def list_failed(self) -> None:
-        # Guards against news that whoever pushes holds: it counts as told, and calls there cost nothing.
-        wait = min(SECOND * 2**self.asks, TOLD // 3) if self.facts.listing.must_ask else ANEW
-        self.asks += 1
-        self.desk.alarm(self.desk.now + int(self.chance.uniform(0.5, 1.5) * wait), self.desk.watch)
+        """The list could not be had: ask again later."""
+        # What the sender of a pushed list holds counts as known here, and calls there cost nothing: ask soon.
+        wait = (
+            min(SECOND * 2**self.list_failures, START_REPORTED_WITHIN // 3)
+            if self.config.listing.must_poll
+            else PUSH_RETRY_DELAY
+        )
+        self.list_failures += 1
+        self.runtime.call_at(
+            self.runtime.now + int(self.rng.uniform(0.5, 1.5) * wait), self.runtime.request_store_list
+        )
 
     def average_rate(self) -> float:
-        """What a new node counts as; before any was heard, the rate that fills the least bound."""
-        heard = [n.rate for n in self.nodes.values() if n.lags and self.desk.now - n.lags[-1][0] < STALE]
-        return sum(heard) / len(heard) if heard else self.least / (self.tightest * AIM_PART)
+        """The rate that a new node starts with; before any was measured, one that allows one largest task."""
+        rates = [
+            n.rate
+            for n in self.nodes.values()
+            if n.samples and self.runtime.now - n.samples[-1][0] < OVERLOAD_LIFETIME
+        ]
+        return sum(rates) / len(rates) if rates else self.largest_task / (self.soft_limit * TARGET_SHARE)
 
     def rank(self) -> None:
-        """Order the nodes for new objects by the time a task would spend there, failures counted in."""
-        self.rank_due = self.desk.now + RANKING
+        """Order the nodes for new objects by the time that a task would spend there, failures included."""
+        self.next_rank_at = self.runtime.now + RANKING_INTERVAL
 
-        def dwell(node: Node) -> float:
-            failing = node.ends.count(False) / max(len(node.ends), 1)
-            return node.lag(self.usual) + node.held_tokens / node.rate + failing * self.tightest
+        def expected_time(node: Node) -> float:
+            failing = node.successes.count(False) / max(len(node.successes), 1)
+            return (
+                node.expected_latency(self.usual) + node.held_tokens / node.rate + failing * self.soft_limit
+            )
 
         ready = [node for node in self.by_shard.values() if node.usable()]
-        self.ranked = sorted(ready, key=lambda node: (dwell(node), self.chance.uniform(0, 1)))
+        self.ranked = sorted(ready, key=lambda node: (expected_time(node), self.rng.uniform(0, 1)))
 
     def node_for(self, task: Task) -> Node | None:
+        """The node of the task's shard, or one for a new object.
+
+        That is the best one by rank which the task fills to half its bound at most, else the one with the
+        least work for its rate.
+        """
         if task.shard is not None:
             return self.by_shard.get(task.shard)
-        if self.desk.now >= self.rank_due:
+        if self.runtime.now >= self.next_rank_at:
             self.rank()
         for node in self.ranked:
-            if node.usable() and node.held_tokens + node.tokens_out + cost_of(task) <= node.bound() / 2:
+            if node.usable() and node.held_tokens + node.tokens_out + cost_of(task) <= node.token_bound() / 2:
                 return node
         return min(self.ranked, key=lambda n: (n.held_tokens + n.tokens_out) / n.rate, default=None)
 
-    def serve(self, task: Task) -> Generator[Want, Signal | Outcome | None, None]:
-        """The ordinary path: find the node, wait for the turn, hand off, judge the outcome."""
-        now, state, aim = self.desk.now, self.state_of(task.volume), self.aim_of(task)
-        if late := aim <= now:  # worth little any more: it goes only where nothing waits
-            aim = min(now + task.category.soft_limit, task.deadline)
-        if self.extras:
-            self.extras.taken.append(now)
-        node, line, first = None, None, not task.again and task.shard is not None
+    def serve(self, task: Task) -> Generator[TaskAction, WakeReason | Outcome | None, None]:
+        """The path of a task: find its node, wait until it is granted, hand it off, look at the outcome."""
+        now, state, due = self.runtime.now, self.volume_state(task.volume), self.soft_deadline(task)
+        if late := due <= now:  # its answer is worth little now: it is sent only where nothing queues
+            due = min(now + task.category.soft_limit, task.deadline)
+        if self.retry_budget:
+            self.retry_budget.tasks.append(now)
+        node, queue, first_try = None, None, not task.resent and task.shard is not None
         try:
-            in_turn = not (task.category.ordered and task.key) or (yield from self.turn_on_key(task, aim))
-            while in_turn and self.may_hand_off(task):
+            has_key = not (task.category.ordered and task.key) or (yield from self.wait_for_key(task, due))
+            while has_key and self.may_hand_off(task):
                 node = self.node_for(task)
-                if node is None or not self.in_group(task, node.store) or late and not node.free():
+                if node is None or not self.may_go_to(task, node.store) or late and not node.shows_headroom():
                     break
-                line = self.line_of(node, task.volume)
-                if first:
-                    first, state.shards[node.store.shard] = False, None
-                    rate = task.volume.plan.rate / SECOND * state.part(self.usual) / len(state.shards)
-                    node.asked(line, task.units, rate)
-                latest = aim - int(min(node.lag(task.units) * MARGIN, (aim - now) * MOST_MARGIN))
+                queue = self.queue_of(node, task.volume)
+                if first_try:
+                    first_try, state.shards[node.store.shard] = False, None
+                    rate = task.volume.plan.rate / SECOND * state.use_share(self.usual) / len(state.shards)
+                    node.record_demand(queue, task.units, rate)
+                latest = due - int(
+                    min(node.expected_latency(task.units) * LATENCY_MARGIN, (due - now) * MAX_MARGIN_SHARE)
+                )
                 wait = self.limit_wait(task, state)
-                if self.desk.now + wait >= latest:
+                if self.runtime.now + wait >= latest:
                     break
                 if wait:
-                    state.short[task] = None
-                    yield Wait(self.desk.now + wait)
-                    state.short.pop(task, None)
+                    state.waiting[task] = None
+                    yield Wait(self.runtime.now + wait)
+                    state.waiting.pop(task, None)
                     continue
-                node.hold(line, task)
-                if (signal := (yield Wait(latest))) is not Signal.TURN:
-                    node.drop(line, task)
-                    if signal is Signal.MOVED:
+                node.enqueue(queue, task)
+                if (reason := (yield Wait(latest))) is not WakeReason.GRANTED:
+                    node.remove(queue, task)
+                    if reason is WakeReason.RECHECK:
                         continue
                     break
-                legal = self.may_hand_off(task) and self.in_group(task, node.store)
+                legal = self.may_hand_off(task) and self.may_go_to(task, node.store)
                 if not legal or self.limit_wait(task, state):
-                    # The limit is charged at the turn: charged before, a held line could leave in one burst.
-                    node.recall(task)
+                    # The limit is charged only now: charging held tasks let them leave in one burst.
+                    node.take_back(task)
                     continue
-                self.spend(task, line, state)
-                sent, outcome = self.desk.now, (yield HandOff(node.store, self.time_out(task, node, aim)))
+                self.spend(task, queue, state)
+                sent, outcome = self.runtime.now, (yield HandOff(node.store, self.timeout(task, node, due)))
                 assert isinstance(outcome, Outcome)
-                node.learn(task, outcome)
-                if outcome.how is How.DELIVERED and (outcome.elsewhere, outcome.used) != (None, None):
-                    state.tell(task.units, outcome, task.volume.plan, self.desk.now)
+                node.record_outcome(task, outcome)
+                if outcome.kind is OutcomeKind.DELIVERED and (
+                    outcome.used_elsewhere,
+                    outcome.plan_use_percent,
+                ) != (None, None):
+                    state.record_use(task.units, outcome, task.volume.plan, self.runtime.now)
                 if not outcome.never_ran:
                     task.may_have_run.append((node.store, sent))
-                    if outcome.how in (How.TIMED_OUT, How.RESET, How.CANCELLED) and task.key in self.keys:
-                        self.keys[task.key].rests_until = self.desk.now + self.facts.key_rest
-                node.round()
-                if outcome.over or outcome.how is How.DELIVERED:
+                    if (
+                        outcome.kind in (OutcomeKind.TIMED_OUT, OutcomeKind.RESET, OutcomeKind.CANCELLED)
+                        and task.key in self.keys
+                    ):
+                        self.keys[task.key].rests_until = self.runtime.now + self.config.key_rest
+                node.run_round()
+                if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                     return
-            yield self.final(task)
+            yield self.final_answer(task)
         finally:
-            if node and line:
-                node.drop(line, task)
-            state.short.pop(task, None)
+            if node and queue:
+                node.remove(queue, task)
+            state.waiting.pop(task, None)
             self.leave_key(task)
 
-    def time_out(self, task: Task, node: Node, aim: int) -> int:
-        """After what time a harmless task goes again, if answers are lost and it can be in time, else 0."""
-        now, may, sure = self.desk.now, self.facts.allowed, task.category.repeat is Repeat.HARMLESS
-        if task.hand_offs != 1 or not (sure and (may.cancel or may.copies)) or now >= self.waits.lost:
+    def timeout(self, task: Task, node: Node, due: int) -> int:
+        """When to send an idempotent task again, if answers get lost and a second can be in time; else 0."""
+        now, allowed, idempotent = (
+            self.runtime.now,
+            self.config.allowed,
+            task.category.repeat is RepeatSafety.IDEMPOTENT,
+        )
+        if (
+            task.hand_offs != 1
+            or not (idempotent and (allowed.cancel or allowed.copies))
+            or now >= self.delays.losses_until
+        ):
             return 0
-        patience = max(PATIENCE * (lag := int(node.lag(task.units))), self.tightest // 2)
-        return patience if now + patience + lag * MARGIN < aim else 0
+        timeout = max(
+            LOST_AFTER_LATENCIES * (latency := int(node.expected_latency(task.units))), self.soft_limit // 2
+        )
+        return timeout if now + timeout + latency * LATENCY_MARGIN < due else 0
+
+    def soft_deadline(self, task: Task) -> int:
+        """When the soft limit ends, counted from the client's first try.
 
-    def aim_of(self, task: Task) -> int:
-        """When the soft limit ends, from the first try: less time left than usual tells of an earlier one."""
-        times = self.patience.setdefault(task.category, deque(maxlen=SAMPLES))
-        times.append(task.deadline - self.desk.now)
+        A task with less time left than others of its category is taken for a later try. With less left than
+        the soft limit nothing can be told.
+        """
+        times = self.time_left.setdefault(task.category, deque(maxlen=SAMPLE_COUNT))
+        times.append(task.deadline - self.runtime.now)
         age = max(times) - times[-1] if times[-1] >= task.category.soft_limit else 0
-        return min(self.desk.now + task.category.soft_limit - age, task.deadline)
+        return min(self.runtime.now + task.category.soft_limit - age, task.deadline)
 
-    def line_of(self, node: Node, volume: Volume) -> Line:
-        if volume not in node.lines:
-            line = node.lines[volume] = Line(node, node.count, volume)
-            node.count += 1
-            line.earn(line.reserve / self.state_of(volume).hosts / max(len(self.by_shard), 1))
-        return node.lines[volume]
+    def queue_of(self, node: Node, volume: Volume) -> VolumeQueue:
+        """The volume's queue at a node; made when it is first needed, with an even part of the reserve."""
+        if volume not in node.queues:
+            queue = node.queues[volume] = VolumeQueue(node, node.queue_count, volume)
+            node.queue_count += 1
+            queue.set_reserve(
+                queue.total_reserve / self.volume_state(volume).gateways / max(len(self.by_shard), 1)
+            )
+        return node.queues[volume]
 
-    def state_of(self, volume: Volume) -> VolumeState:
+    def volume_state(self, volume: Volume) -> VolumeState:
+        """The volume's state over all nodes; made when it is first needed."""
         if volume.state is None:
-            plan, hosts = volume.plan, volume.gateways if volume.gateways >= 1 else self.facts.gateways
-            parts = self.desk.parts if hosts == self.facts.gateways else EvenParts()  # views divide among all
-            limit, depth = plan.limit / SECOND / hosts, plan.limit_depth / hosts
-            volume.state = VolumeState(hosts, limit, depth, self.born, parts)
+            plan, gateways = volume.plan, volume.gateways if volume.gateways >= 1 else self.config.gateways
+            # Agreed shares divide among all gateways: a volume that only some serve is divided evenly.
+            shares = self.runtime.shares if gateways == self.config.gateways else EvenShares()
+            limit, depth = plan.limit / SECOND / gateways, plan.limit_depth / gateways
+            volume.state = VolumeState(gateways, limit, depth, self.started_at, shares)
         return volume.state
 
-    def spend(self, task: Task, line: Line, state: VolumeState) -> None:
+    def spend(self, task: Task, queue: VolumeQueue, state: VolumeState) -> None:
+        """Charge a hand-off to the limit or the retry budget; divide the reserve by where it is used."""
         if not task.hand_offs:
             state.units -= task.units
-        elif self.extras:
-            self.extras.extras.append(self.desk.now)
+        elif self.retry_budget:
+            self.retry_budget.retries.append(self.runtime.now)
         task.hand_offs += 1
-        state.send(line, task.units)
-        total = state.total / state.part(self.usual)
-        for other, units in state.by_line.items() if line.reserve else ():
-            other.earn(other.reserve * units / total)
+        state.record_send(queue, task.units)
+        total = state.recent_units / state.use_share(self.usual)
+        for other, units in state.units_by_queue.items() if queue.total_reserve else ():
+            other.set_reserve(other.total_reserve * units / total)
 
     def limit_wait(self, task: Task, state: VolumeState) -> int:
-        """Tenths until the limit has a first hand-off's units. A part starts empty, in a new fleet full."""
-        now = self.desk.now
-        if not state.started and self.new is not None and now >= self.born + ASK:
+        """Time until the limit has the units of a first hand-off, or until others may have granted them.
+
+        The bucket starts empty, since an earlier process may have spent it, and full in a new fleet.
+        """
+        now = self.runtime.now
+        if not state.started and self.fleet_is_new is not None and now >= self.started_at + PEER_REPLY_TIME:
             state.started = True
-            state.fill(now, state.depth if self.new else 0.0)
+            state.fill(now, state.depth if self.fleet_is_new else 0.0)
         if task.hand_offs or not state.limit:
             return 0
         state.fill(now)
         wait = 0 if state.units >= task.units else int((task.units - state.units) / state.limit) + 1
-        return min(wait, self.ask(task.volume, state) or wait) if wait else 0
+        return min(wait, self.ask_peers(task.volume, state) or wait) if wait else 0
+
+    def ask_peers(self, volume: Volume, state: VolumeState) -> int:
+        """Ask gateways of the volume for units of its limit; returns how long their replies may take.
 
-    def ask(self, volume: Volume, state: VolumeState) -> int:
-        """Ask some gateways of the volume for units, all while some are unknown; how long that may take."""
-        now = self.desk.now
-        if not self.facts.allowed.peers or state.hosts <= 1:
+        Some are asked, or all gateways while some of the volume's are unknown. The time between asks doubles
+        while little is granted.
+        """
+        now = self.runtime.now
+        if not self.config.allowed.peers or state.gateways <= 1:
             return 0
-        if now >= state.ask_due:
-            state.pause = ASK if 2 * state.got >= state.wish else min(2 * state.pause, SECOND)
-            state.asked, state.ask_due = now, now + state.pause
-            state.got, state.wish = 0.0, state.depth - state.units
-            some: list[int | None] = [*self.chance.sample([*state.peers], min(ASKED, len(state.peers)))]
-            if len(state.peers) < state.hosts - 1 and now >= state.all_due:
-                some, state.all_due = [None], now + ALL
-            for peer in some:
-                each = state.wish / (state.hosts - 1 if peer is None else len(some))
-                self.desk.tell(peer, Word(volume, each, False))
-        return max(state.asked + ASK - now, 0)
-
-    def heard(self, peer: int, word: Word) -> None:
-        """Another gateway gives units, asks for some (half at most; none where no task came) or greets."""
-        if word.volume is None:
-            if not (long := self.desk.now >= self.born + NEW):
-                self.new = self.new is not False and not word.units
-            if not word.gift:
-                self.desk.tell(peer, Word(None, float(long), True))
-        elif (state := word.volume.state) is not None:
-            state.fill(self.desk.now, word.units if word.gift else 0.0)
-            gift = min(word.units, max(state.units, 0.0) / 2)
-            if word.gift:
-                state.got += word.units
-                for task in state.short:
-                    self.desk.wake(task, Signal.MOVED)
-            elif gift >= 1 or peer not in state.peers:
-                state.units -= gift
-                self.desk.tell(peer, Word(word.volume, gift, True))
+        if now >= state.next_ask_at:
+            state.ask_interval = (
+                PEER_REPLY_TIME if 2 * state.received >= state.wanted else min(2 * state.ask_interval, SECOND)
+            )
+            state.asked_at, state.next_ask_at = now, now + state.ask_interval
+            state.received, state.wanted = 0.0, state.depth - state.units
+            peers: list[int | None] = [*self.rng.sample([*state.peers], min(PEERS_PER_ASK, len(state.peers)))]
+            if len(state.peers) < state.gateways - 1 and now >= state.next_broadcast_at:
+                peers, state.next_broadcast_at = [None], now + BROADCAST_INTERVAL
+            for peer in peers:
+                each = state.wanted / (state.gateways - 1 if peer is None else len(peers))
+                self.runtime.send_to_peer(peer, PeerMessage(volume, each, False))
+        return max(state.asked_at + PEER_REPLY_TIME - now, 0)
+
+    def on_peer_message(self, peer: int, message: PeerMessage) -> None:
+        """Another gateway grants units, asks for some, or greets.
+
+        It gets at most half of the units here, and none of a volume of which no task has come here. Units are
+        taken from the bucket before they are sent: a lost message loses them, none are granted twice.
+        """
+        if message.volume is None:
+            if not (long_up := self.runtime.now >= self.started_at + NEW_FLEET_WINDOW):
+                self.fleet_is_new = self.fleet_is_new is not False and not message.units
+            if not message.is_grant:
+                self.runtime.send_to_peer(peer, PeerMessage(None, float(long_up), True))
+        elif (state := message.volume.state) is not None:
+            state.fill(self.runtime.now, message.units if message.is_grant else 0.0)
+            grant = min(message.units, max(state.units, 0.0) / 2)
+            if message.is_grant:
+                state.received += message.units
+                for task in state.waiting:
+                    self.runtime.wake(task, WakeReason.RECHECK)
+            elif grant >= 1 or peer not in state.peers:
+                state.units -= grant
+                self.runtime.send_to_peer(peer, PeerMessage(message.volume, grant, True))
             state.peers[peer] = None
 
     def may_hand_off(self, task: Task) -> bool:
-        """Whether a (further) hand-off is legal now, wherever it goes."""
-        may = task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline
-        may = may and (not task.hand_offs or not self.extras or self.extras.room(self.desk.now))
-        return may and not (task.may_have_run and task.category.repeat is Repeat.ONE_SHOT)
-
-    def in_group(self, task: Task, store: Store) -> bool:
-        """Whether a stamped task that may have run may go to this store: same group, within its memory."""
-        if not task.may_have_run or task.category.repeat is Repeat.HARMLESS:
+        """Whether a hand-off, or a further one, is allowed now, whatever store it goes to."""
+        may = task.hand_offs < self.config.allowed.hand_offs and self.runtime.now < task.deadline
+        may = may and (
+            not task.hand_offs or not self.retry_budget or self.retry_budget.allows(self.runtime.now)
+        )
+        return may and not (task.may_have_run and task.category.repeat is RepeatSafety.AT_MOST_ONCE)
+
+    def may_go_to(self, task: Task, store: Store) -> bool:
+        """Whether a task may go to a store: if it may have run, only one that would drop the repeat."""
+        if not task.may_have_run or task.category.repeat is RepeatSafety.IDEMPOTENT:
             return True
         (first, sent), scope = task.may_have_run[0], task.category.scope
-        near = store.zone == first.zone if scope is Scope.ZONE else store.shard == first.shard
-        return (scope is Scope.ALL or near) and self.desk.now < sent + task.category.window
+        near = store.zone == first.zone if scope is DeduplicationScope.ZONE else store.shard == first.shard
+        return (scope is DeduplicationScope.ALL or near) and self.runtime.now < sent + task.category.window
 
-    def final(self, task: Task) -> Want:
-        """The answer of a task given up on: a nack wherever its promise holds."""
-        allowed, of = self.facts.allowed, task.category
-        sure = of.repeat is Repeat.HARMLESS or (of.repeat is Repeat.STAMPED and of.scope is Scope.ALL)
-        come_back = min(self.tightest, allowed.longest_come_back) if allowed.come_back else 0
-        return BreakOff() if task.may_have_run and not sure else Nack(come_back)
+    def final_answer(self, task: Task) -> TaskAction:
+        """The answer of a task that is given up: a nack where the client may safely send it again."""
+        allowed, category = self.config.allowed, task.category
+        repeat_is_safe = category.repeat is RepeatSafety.IDEMPOTENT or (
+            category.repeat is RepeatSafety.DEDUPLICATED and category.scope is DeduplicationScope.ALL
+        )
+        retry_after = min(self.soft_limit, allowed.longest_retry_after) if allowed.retry_after else 0
+        return BreakOff() if task.may_have_run and not repeat_is_safe else Nack(retry_after)
 
-    def turn_on_key(self, task: Task, aim: int) -> Generator[Want, Signal | Outcome | None, bool]:
+    def wait_for_key(self, task: Task, due: int) -> Generator[TaskAction, WakeReason | Outcome | None, bool]:
         """Wait until the task is first on its key and the key has rested; False if that comes too late."""
-        line = self.keys.setdefault(task.key, KeyLine(self.born + self.facts.key_rest))  # of an earlier life
-        line.tasks.append(task)
-        while line.tasks[0] is not task or self.desk.now < line.rests_until:
-            if self.desk.now >= aim:
+        # At first every key rests: an earlier process may have sent a task on it.
+        queue = self.keys.setdefault(task.key, KeyQueue(self.started_at + self.config.key_rest))
+        queue.tasks.append(task)
+        while queue.tasks[0] is not task or self.runtime.now < queue.rests_until:
+            if self.runtime.now >= due:
                 return False
-            yield Wait(min(line.rests_until, aim) if line.tasks[0] is task else aim)
+            yield Wait(min(queue.rests_until, due) if queue.tasks[0] is task else due)
         return True
 
     def leave_key(self, task: Task) -> None:
-        if task.category.ordered and (line := self.keys.get(task.key)) and task in line.tasks:
-            line.tasks.remove(task)
-            if line.tasks:
-                self.desk.wake(line.tasks[0], Signal.MOVED)
-            elif self.desk.now >= line.rests_until:
+        """A task has ended: the next one on its key may go."""
+        if task.category.ordered and (queue := self.keys.get(task.key)) and task in queue.tasks:
+            queue.tasks.remove(task)
+            if queue.tasks:
+                self.runtime.wake(queue.tasks[0], WakeReason.RECHECK)
+            elif self.runtime.now >= queue.rests_until:
                 del self.keys[task.key]
--- a/tansykeel/cluster/allotments.py
+++ b/tansykeel/cluster/allotments.py
@@ -36,7 +36,7 @@
         else:
             self.spans.append((now, until, even_parts))
 
-    def earned(self, since: int, now: int) -> tuple[float, float]:
+    def accrued(self, since: int, now: int) -> tuple[float, float]:
         """Return what the time from `since` to `now` was worth, and how many even parts count now.
 
         The worth is the time during which one even part would have gained as much, in tenths of a millisecond.
@@ -50,7 +50,4 @@
             if start <= since:
                 break
         _, until, even_parts = self.spans[-1]
-        return (
-            worth + max(end - since, 0) * self.safe_even_parts,
-            even_parts if now < until else self.safe_even_parts,
-        )
+        return (worth + max(end - since, 0) * self.safe_even_parts, even_parts if now < until else self.safe_even_parts)
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -32,15 +32,28 @@
     StillHeld,
     StoreRow,
 )
-from tansykeel.interface import BreakOff, Facts, How, Nack, Outcome, Parts, State, Store, Task, Want, Word
+from tansykeel.interface import (
+    BreakOff,
+    Nack,
+    Outcome,
+    OutcomeKind,
+    PeerMessage,
+    SchedulerConfig,
+    ShareProvider,
+    Store,
+    StoreState,
+    Task,
+    TaskAction,
+)
 from tansykeel.runner import Runner
 
-REMOVAL_STAGES = {State.READY: 0, State.DRAINING: 1, State.GONE: 2}  # the states of a store that is being removed
+# The states of a store that is being removed.
+REMOVAL_STAGES = {StoreState.READY: 0, StoreState.DRAINING: 1, StoreState.GONE: 2}
 MAX_GONE_STORES = 1_000  # stores that are gone and still known by name; beyond it the oldest are forgotten
 
 
 class Core:
-    """Holds a gateway's tasks and implements the `Door` through which the runner passes on the module's actions.
+    """Holds a gateway's tasks and implements the `EffectHandler` through which the runner passes on the module's actions.
 
     `known_stores` are the stores as they were last reported, used until a list confirms them. `make_module` creates
     the decision module. `parts` tells this gateway's part of the totals that all gateways divide; None: equal parts.
@@ -48,15 +61,15 @@
 
     def __init__(
         self,
-        facts: Facts,
+        facts: SchedulerConfig,
         seed: int,
         io: GatewayIO,
         now: int,
         bounds: Bounds,
         request_parser: RequestParser,
         known_stores: Iterable[StoreRow] = (),
-        make_module: Callable[[Facts, int, Runner], DecisionModule] = Scheduler,
-        parts: Parts | None = None,
+        make_module: Callable[[SchedulerConfig, int, Runner], DecisionModule] = Scheduler,
+        parts: ShareProvider | None = None,
     ) -> None:
         self.facts, self.io, self.bounds, self.request_parser = facts, io, bounds, request_parser
         self.runner = Runner(self, now, parts)
@@ -72,13 +85,13 @@
         self.decision_module = make_module(facts, seed, self.runner)
         self._apply_rows(known_stores)
         self.decision_module.list_changed(list(self.stores.values()), confirmed=False)
-        self.runner.settle()
+        self.runner.run_pending()
 
     # Events from clients
 
     def receive_task(self, now: int, client: Any, id: Any, request: Any) -> None:
         """Take a task. Raises StillHeld where the client still waits for another task with this id."""
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         now = self.runner.now
         if (client, id) in self.held:
             raise StillHeld(f"task {id}: one with this id is still held")
@@ -93,8 +106,8 @@
             return self._give_up(held, "no memory for its body")
         held.memory = parsed.memory
         if held.body_missing:  # the client gets its answer even if the body never comes
-            self.runner.alarm(held.task.deadline, partial(self._body_timed_out, held))
-            self.runner.settle()
+            self.runner.call_at(held.task.deadline, partial(self._body_timed_out, held))
+            self.runner.run_pending()
         if held.task.category.ordered and held.task.key:
             self.unstarted.setdefault(held.task.key, deque()).append(held)
         if not held.body_missing:
@@ -108,7 +121,7 @@
         held.body.append(data)
         held.body_missing -= len(data)
         if not held.body_missing:
-            self.runner.move(now)
+            self.runner.advance_clock(now)
             self._body_complete(held)
 
     def cancel_task(self, now: int, client: Any, id: Any) -> None:
@@ -116,14 +129,14 @@
         held = self.held.get((client, id))
         if held is None or held.answered:
             return
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         held.answered = True
         self.counts.left += 1
-        if held.started and not self.runner.left(held.task):
+        if held.started and not self.runner.client_left(held.task):
             for attempt in held.open_attempts:
                 self._cancel_attempt(attempt)
         self._forget_if_done(held)
-        self.runner.settle()
+        self.runner.run_pending()
 
     def client_disconnected(self, now: int, client: Any) -> None:
         """Drop all tasks of a client whose connection ended."""
@@ -136,7 +149,7 @@
         self,
         now: int,
         attempt: Attempt,
-        how: How,
+        how: OutcomeKind,
         *,
         shard: int = -1,
         body: list[bytes] | None = None,
@@ -150,20 +163,20 @@
         """
         if attempt.finished:
             return
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         attempt.finished = True
         held, lag = attempt.held, self.runner.now - attempt.sent_at
         held.open_attempts.remove(attempt)
         held.last_outcome = how.value
         self.counts.outcomes[how.value] = self.counts.outcomes.get(how.value, 0) + 1
-        if how is How.DELIVERED and not held.answered:
+        if how is OutcomeKind.DELIVERED and not held.answered:
             self._send_answer(held, FinalAnswer(DELIVERED, 0, shard if shard >= 0 else attempt.store.shard), body or [])
         outcome = Outcome(
             how,
             lag,
             held.answered,
             used if used >= 0 else None,
-            elsewhere if self.facts.tells_elsewhere else None,
+            elsewhere if self.facts.reports_use_elsewhere else None,
             report,
         )
         self.runner.outcome(held.task, outcome)
@@ -175,17 +188,17 @@
         Returns whether the store has restarted: hand-offs that were granted and are not sent yet were then decided
         without this knowledge.
         """
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         if not self._record_boot(store, boot, age):
             return False
         self.decision_module.list_changed(list(self.stores.values()), confirmed=False)
-        self.runner.settle()
+        self.runner.run_pending()
         return store.started > 0
 
     def apply_list_update(self, now: int, update: ListUpdate, versions_restarted: bool = False) -> None:
         """Apply the list of stores, or a change to it. An update older than the known list is ignored, unless
         `versions_restarted` says that its versions are counted from a new start."""
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         if update.failed:
             return self.list_unavailable(now)
         if update.version < self.list_version and not versions_restarted:
@@ -196,32 +209,31 @@
         if update.full:
             for name, store in self.stores.items():
                 if name not in rows:
-                    store.state = State.GONE
+                    store.state = StoreState.GONE
         self.decision_module.list_changed(list(self.stores.values()), confirmed=True)
-        gone = [name for name, store in self.stores.items() if store.state is State.GONE]
+        gone = [name for name, store in self.stores.items() if store.state is StoreState.GONE]
         for name in gone[:-MAX_GONE_STORES]:
             store = self.stores.pop(name)
             del self.addresses[store]
             self.boot_ids.pop(store, None)
-        self.runner.settle()
+        self.runner.run_pending()
 
     def list_unavailable(self, now: int) -> None:
-        """Record that a call to the list service failed or its connection was lost; the module decides when to ask
-        again."""
-        self.runner.move(now)
+        """Record that the list service failed or can't be reached; the decision module says when to ask again."""
+        self.runner.advance_clock(now)
         self.decision_module.list_failed()
-        self.runner.settle()
+        self.runner.run_pending()
 
-    def receive_peer_message(self, now: int, sender: int, word: Word) -> None:
+    def receive_peer_message(self, now: int, sender: int, word: PeerMessage) -> None:
         """Pass a message of another gateway on to the decision module."""
-        self.runner.move(now)
-        self.decision_module.heard(sender, word)
-        self.runner.settle()
+        self.runner.advance_clock(now)
+        self.decision_module.on_peer_message(sender, word)
+        self.runner.run_pending()
 
     def run_timers(self, now: int) -> None:
         """Run all timers that are due; to be called at the time given to `GatewayIO.set_wakeup`."""
-        self.runner.move(now)
-        self.runner.reminded()
+        self.runner.advance_clock(now)
+        self.runner.timer_fired()
 
     # Shutdown
 
@@ -231,52 +243,52 @@
 
     def answer_all(self, now: int) -> None:
         """Answer all tasks that are still held, as the module says for a task given up on."""
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         for held in [held for held in self.held.values() if not held.answered]:
             self._give_up(held, "the gateway ends")
 
     def give_up(self, now: int, held: HeldTask, reason: str) -> None:
         """Answer one task now, as the module says for a task given up on."""
-        self.runner.move(now)
+        self.runner.advance_clock(now)
         if not held.answered:
             self._give_up(held, reason)
-        self.runner.settle()
+        self.runner.run_pending()
 
-    # Door: actions of the decision module, called by the runner
+    # EffectHandler: actions of the decision module, called by the runner
 
-    def hand_off(self, task: Task, store: Store, time_out: int) -> None:
-        """Send a task to a store. The attempt times out after `time_out` ticks, at the task's deadline at the latest;
+    def hand_off(self, task: Task, store: Store, timeout: int) -> None:
+        """Send a task to a store. The attempt times out after `timeout` ticks, at the task's deadline at the latest;
         0: only at the deadline."""
         held: HeldTask = task.handle
         now = self.runner.now
-        deadline = min(now + time_out, task.deadline) if time_out > 0 else task.deadline
+        deadline = min(now + timeout, task.deadline) if timeout > 0 else task.deadline
         attempt = Attempt(held, store, task.hand_offs - 1, now, deadline)
         held.open_attempts.append(attempt)
         self.counts.hand_offs += 1
-        self.runner.alarm(deadline, partial(self._attempt_timed_out, attempt))
+        self.runner.call_at(deadline, partial(self._attempt_timed_out, attempt))
         self.io.hand_off(attempt)
 
-    def nack(self, task: Task, come_back: int) -> None:
-        """Answer a task with a nack. `come_back`: ticks after which the client may try again, 0: not said."""
-        self._answer_unserved(task.handle, Nack(come_back), "")
+    def nack(self, task: Task, retry_after: int) -> None:
+        """Answer a task with a nack. `retry_after`: ticks after which the client may try again, 0: not said."""
+        self._answer_unserved(task.handle, Nack(retry_after), "")
 
     def break_off(self, task: Task) -> None:
         """Answer a task as broken off."""
         self._answer_unserved(task.handle, BreakOff(), "")
 
-    def remind(self, at: int) -> None:
+    def set_timer(self, at: int) -> None:
         """Have `run_timers` called at that time."""
         self.io.set_wakeup(at)
 
-    def watch(self) -> None:
+    def request_store_list(self) -> None:
         """Ask the list service for the list of stores and its changes."""
         self.io.request_store_list()
 
-    def tell(self, peer: int | None, word: Word) -> None:
+    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         """Send a message to another gateway, or to all others where `peer` is None."""
         self.io.send_to_peer(peer, word)
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         """Write a log line of the decision module."""
         self.io.log_event("module", text=text)
 
@@ -284,7 +296,7 @@
 
     def _apply_rows(self, rows: Iterable[StoreRow], versions_restarted: bool = False) -> None:
         for row in rows:
-            known, state = self.stores.get(row.name), State(row.state)
+            known, state = self.stores.get(row.name), StoreState(row.state)
             if (
                 versions_restarted
                 and known
@@ -326,7 +338,7 @@
         if attempt.finished:
             return
         self._cancel_attempt(attempt)
-        self.record_outcome(self.runner.now, attempt, How.TIMED_OUT)
+        self.record_outcome(self.runner.now, attempt, OutcomeKind.TIMED_OUT)
 
     def _cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel an attempt that nobody waits for any more. Where stores allow no cancelling, an attempt that still
@@ -340,19 +352,19 @@
         """Answer a task independently of its generator, cancel its open attempts and send nothing more for it."""
         # An open hand-off may have run. Without this, a one-shot task would be nacked as if it never had.
         held.task.may_have_run += [(attempt.store, attempt.sent_at) for attempt in held.open_attempts]
-        want = self.decision_module.final(held.task)
+        want = self.decision_module.final_answer(held.task)
         self._answer_unserved(held, want, reason)
-        if held.started and not self.runner.left(held.task):
+        if held.started and not self.runner.client_left(held.task):
             for attempt in held.open_attempts:
                 self.io.cancel(attempt)
         self._forget_if_done(held)
 
-    def _answer_unserved(self, held: HeldTask, want: Want, reason: str) -> None:
+    def _answer_unserved(self, held: HeldTask, want: TaskAction, reason: str) -> None:
         """Answer a task that was not delivered: with a nack, or as broken off."""
         if held.answered:
             return
         if isinstance(want, Nack):
-            self._send_answer(held, FinalAnswer(NACKED, want.come_back, reason=reason[:500]), [])
+            self._send_answer(held, FinalAnswer(NACKED, want.retry_after, reason=reason[:500]), [])
         else:
             self._send_answer(held, FinalAnswer(BROKEN_OFF, reason=reason[:500]), [])
         self._forget_if_done(held)
--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -13,7 +13,7 @@
 from tansykeel.cluster.member import ClusterMember, OutgoingMessage
 from tansykeel.edge.clock import clock
 from tansykeel.edge.core import Core
-from tansykeel.interface import State as StoreState
+from tansykeel.interface import StoreState
 from tansykeel.maintenance.canary_analysis import Seen
 from tansykeel.maintenance.controller import Ask, Controller
 from tansykeel.maintenance.disruption_budget import Place
@@ -165,7 +165,7 @@
 
         A store that is ready but still warming up is in neither.
         """
-        now, cold = self.core.runner.now, self.core.facts.cold
+        now, cold = self.core.runner.now, self.core.facts.slow_start
         others = self.cluster_member.failure_detector.others.values()
         gone = {other.name: "died" for other in others if other.state is MemberState.DEAD}
         alive = [other.name for other in others if other.state is MemberState.ALIVE and other.incarnation]
--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from tansykeel.edge.tasks import MICROSECONDS_PER_TICK, TICKS_PER_MS, Attempt, Bounds, FinalAnswer, ParsedRequest
-from tansykeel.interface import Facts, Plan, Task, Volume, Word
+from tansykeel.interface import PeerMessage, Plan, SchedulerConfig, Task, Volume
 from tansykeel.protocol.frames import Answer, HandOffOf, Row, Share, TaskOf
 from tansykeel.settings.records import Gateway, Settings
 
@@ -15,7 +15,7 @@
     """Parses requests of the native protocol for the core. Volumes come from the settings; sizes in bytes are
     converted to units."""
 
-    def __init__(self, settings: Settings, facts: Facts) -> None:
+    def __init__(self, settings: Settings, facts: SchedulerConfig) -> None:
         self.gateway, self.facts = settings.gateway, facts
         self.categories = {category.name: category for category in facts.categories}
         plans: dict[str, Plan] = {plan.name: plan for plan in facts.plans}
@@ -57,14 +57,14 @@
         )
         return ParsedRequest(task, request.body, request.size, fault)
 
-    def word_from_share(self, share: Share) -> Word | None:
+    def word_from_share(self, share: Share) -> PeerMessage | None:
         """Return another gateway's message as the module's record, None where its volume is not in the settings."""
         volume = self.volumes.get(share.volume) if share.volume is not None else None
-        return Word(volume, share.units, share.gift) if volume is not None or share.volume is None else None
+        return PeerMessage(volume, share.units, share.gift) if volume is not None or share.volume is None else None
 
-    def share_from_word(self, word: Word) -> Share:
+    def share_from_word(self, word: PeerMessage) -> Share:
         """Return the SHARE frame for a message to other gateways."""
-        return Share(self.facts.me, word.volume.handle if word.volume else None, word.units, word.gift)
+        return Share(self.facts.gateway_index, word.volume.handle if word.volume else None, word.units, word.is_grant)
 
 
 def bounds_of(gateway: Gateway) -> Bounds:
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -25,7 +25,7 @@
 from tansykeel.edge.stores import Stores
 from tansykeel.edge.tasks import DELIVERED, Attempt, DecisionModule, FinalAnswer, HeldTask, StillHeld
 from tansykeel.edge.trace import Trace
-from tansykeel.interface import Facts, Parts, Word
+from tansykeel.interface import PeerMessage, SchedulerConfig, ShareProvider
 from tansykeel.maintenance.messages import CODEC, Figures, MaintenanceMessage, MessageError
 from tansykeel.maintenance.state import State
 from tansykeel.protocol.codec import Codec, Event, Piece
@@ -64,7 +64,7 @@
     def __init__(
         self,
         settings: Settings,
-        facts: Facts,
+        facts: SchedulerConfig,
         seed: int,
         trace: Trace | None = None,
         sample: int = 100,
@@ -73,10 +73,10 @@
         claim_observer: ClaimObserver | None = None,
     ) -> None:
         self.settings, self.gateway = settings, settings.gateway
-        self.log = structlog.get_logger().bind(gateway=self.gateway.named(facts.me))
+        self.log = structlog.get_logger().bind(gateway=self.gateway.named(facts.gateway_index))
         self.trace, self.sample, self._answers = trace, sample, 0
         self.incarnation = time.time_ns() & (2**62 - 1)
-        self.hello = Hello(1, "edge", self.gateway.named(facts.me), self.incarnation, 0)
+        self.hello = Hello(1, "edge", self.gateway.named(facts.gateway_index), self.incarnation, 0)
         self.hub = Hub(Limits(stall=settings.gateway.peer_stall_s))
         self.clients: set[Link] = set()
         self._wakeup = WakeupTimer(lambda now: self.core.run_timers(now))
@@ -93,7 +93,7 @@
             self.peers = Peers(
                 settings.peers.addresses,
                 names,
-                facts.me,
+                facts.gateway_index,
                 self.hub,
                 msgspec.structs.replace(self.hello, role="peer"),
                 settings.peers.connect_timeout_ms / 1000,
@@ -104,7 +104,7 @@
                 self.cluster_agent = ClusterAgent(
                     settings.peers,
                     names,
-                    facts.me,
+                    facts.gateway_index,
                     self.hello,
                     seed,
                     self.peers,
@@ -116,7 +116,7 @@
         self.control_session: ControlSession | None = None
         if settings.control:
             self.control_session = create_control_session(
-                settings, facts.me, self.incarnation, seed, self.hub, self.log, claim_observer
+                settings, facts.gateway_index, self.incarnation, seed, self.hub, self.log, claim_observer
             )
         self.core = Core(
             facts,
@@ -152,7 +152,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stopping.set)
         loop.set_exception_handler(self._on_exception)
-        listener = listening(self.settings.listens_at(self.core.facts.me))
+        listener = listening(self.settings.listens_at(self.core.facts.gateway_index))
         self.hub.start()
         accepting = loop.create_task(accept_all(listener, self._accept, self.stores.free_descriptors))
         closing_idle = loop.create_task(self._close_idle())
@@ -257,7 +257,7 @@
         if self.list_client:
             self.list_client.request()
 
-    def send_to_peer(self, peer: int | None, word: Word) -> None:
+    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         """Send a message to another gateway, or to all others where `peer` is None."""
         if self.peers:
             self.peers.send(peer, Urgency.HINT, self.native.share_from_word(word))
@@ -268,7 +268,7 @@
 
     # Internal
 
-    def _parts(self) -> Parts | None:
+    def _parts(self) -> ShareProvider | None:
         """Return what tells this gateway's part of what all gateways divide; None: each has an equal part."""
         if self.cluster_agent:
             return self.cluster_agent.cluster_member.allotments
--- a/tansykeel/edge/stores.py
+++ b/tansykeel/edge/stores.py
@@ -14,14 +14,23 @@
 from tansykeel.edge.core import Core
 from tansykeel.edge.native import hand_off_frame
 from tansykeel.edge.tasks import Attempt
-from tansykeel.interface import How, Store
+from tansykeel.interface import OutcomeKind, Store
 from tansykeel.protocol.codec import Codec, Event, Frame, Piece
 from tansykeel.protocol.frames import Cancel, Hello, OutcomeOf
 from tansykeel.settings.records import Gateway
 from tansykeel.transport.link import Hub, Link
 from tansykeel.transport.sockets import connect
 
-OUTCOMES = {how.value: how for how in (How.DELIVERED, How.ERROR, How.FULL, How.MOOT, How.CANCELLED)}  # by frame field
+OUTCOMES = {
+    how.value: how
+    for how in (
+        OutcomeKind.DELIVERED,
+        OutcomeKind.ERROR,
+        OutcomeKind.QUEUE_FULL,
+        OutcomeKind.NOT_EXECUTED,
+        OutcomeKind.CANCELLED,
+    )
+}  # by frame field
 
 
 class Connection:
@@ -67,7 +76,7 @@
         if attempt not in self.waiting:
             return False
         self.waiting.remove(attempt)
-        self.stores.report_outcome_later(attempt, How.CANCELLED)
+        self.stores.report_outcome_later(attempt, OutcomeKind.CANCELLED)
         return True
 
     def cancel(self, attempt: Attempt) -> None:
@@ -115,7 +124,7 @@
             self.connections.remove(connection)
         if not self.connections:
             while self.waiting:
-                self.stores.report_outcome(self.waiting.popleft(), How.NO_CONNECTION)
+                self.stores.report_outcome(self.waiting.popleft(), OutcomeKind.NO_CONNECTION)
 
     def _on_lost(self, connection: Connection) -> None:
         attempts, was_ready = list(connection.attempts.values()), connection.ready
@@ -125,7 +134,7 @@
             return self._on_failed(connection)
         self.connections.remove(connection)
         for attempt in attempts:
-            self.stores.report_outcome(attempt, How.RESET)
+            self.stores.report_outcome(attempt, OutcomeKind.RESET)
         if self.waiting and not self.connections:
             self._open()
 
@@ -162,7 +171,7 @@
             # other gateways they would overload it, so the module decides about them again.
             unsent, self.waiting = list(self.waiting), deque()
             for attempt in unsent:
-                self.stores.report_outcome(attempt, How.MOOT)
+                self.stores.report_outcome(attempt, OutcomeKind.NOT_EXECUTED)
         while self.waiting and len(connection.attempts) < self.stores.gateway.streams_per_connection:
             attempt = self.waiting.popleft()
             if not attempt.finished:
@@ -241,10 +250,10 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def report_outcome_later(self, attempt: Attempt, how: How) -> None:
+    def report_outcome_later(self, attempt: Attempt, how: OutcomeKind) -> None:
         """Report an outcome in the loop's next turn: the core may not be called back while it calls."""
         asyncio.get_running_loop().call_soon(self.report_outcome, attempt, how)
 
-    def report_outcome(self, attempt: Attempt, how: How) -> None:
+    def report_outcome(self, attempt: Attempt, how: OutcomeKind) -> None:
         """Report an attempt's outcome to the core."""
         self.core.record_outcome(self.clock(), attempt, how)
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -10,8 +10,8 @@
 from typing import Any, Protocol
 
 from tansykeel.errors import Problem
-from tansykeel.interface import Store, Task, Want, Word
-from tansykeel.runner import Run
+from tansykeel.interface import PeerMessage, Store, Task, TaskAction
+from tansykeel.runner import TaskGenerator
 
 DELIVERED, NACKED, BROKEN_OFF = 0, 1, 2  # FinalAnswer.result
 MICROSECONDS_PER_TICK = 100
@@ -151,7 +151,7 @@
         """Ask the list service for the list of stores and its changes."""
         ...
 
-    def send_to_peer(self, peer: int | None, word: Word) -> None:
+    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         """Send a message to another gateway, or to all others where `peer` is None."""
         ...
 
@@ -213,14 +213,14 @@
         """The list of stores can't be had at the moment."""
         ...
 
-    def serve(self, task: Task) -> Run:
+    def serve(self, task: Task) -> TaskGenerator:
         """Return the generator that decides about a task."""
         ...
 
-    def heard(self, peer: int, word: Word) -> None:
+    def on_peer_message(self, peer: int, word: PeerMessage) -> None:
         """Another gateway sent a message."""
         ...
 
-    def final(self, task: Task) -> Want:
+    def final_answer(self, task: Task) -> TaskAction:
         """Return the answer, Nack or BreakOff, for a task that is given up on."""
         ...
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -18,7 +18,7 @@
 from tansykeel.edge.tasks import Attempt, FinalAnswer, HeldTask
 from tansykeel.emulator.scene import Scene
 from tansykeel.emulator.ways import Conn, GatewayEnd, Line, StoreEnd
-from tansykeel.interface import How, Word
+from tansykeel.interface import OutcomeKind, PeerMessage
 from tansykeel.protocol.frames import HEAD_BYTES, Hello, ListOf, Row, Share, TaskOf
 from tansykeel.settings.cluster import cluster_member_of
 from tansykeel.standin.behaviour import Work
@@ -170,7 +170,7 @@
         self.asked = True
         self.engine.after(self.scene.ways.to_list(), self.scene.list.ask, self, self.life)
 
-    def send_to_peer(self, peer: int | None, word: Word) -> None:
+    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         share = self.native.share_from_word(word)
         for other in self.fleet if peer is None else [self.fleet[peer]]:
             if other.alive and other is not self:
@@ -198,7 +198,7 @@
         for conn in self.conns.values():
             if attempt in conn.waiting:
                 conn.waiting.remove(attempt)
-                self.engine.after(0, self.tell, self.life, self._outcome, attempt, How.CANCELLED)
+                self.engine.after(0, self.tell, self.life, self._outcome, attempt, OutcomeKind.CANCELLED)
 
     def cancel(self, attempt: Attempt) -> None:
         conn = attempt.connection
@@ -225,7 +225,7 @@
         anew = self.core.store_connected(self.clock(), conn.known, hello.boot, hello.age)
         for attempt in unsent:
             if anew:  # granted without knowing of the start: as the program does, it is decided anew
-                self._outcome(attempt, How.MOOT)
+                self._outcome(attempt, OutcomeKind.NOT_EXECUTED)
             elif not attempt.finished:
                 self._send(conn, attempt)
 
@@ -233,7 +233,7 @@
         if not conn.up and not conn.lost:
             conn.lost = True
             while conn.waiting:
-                self._outcome(conn.waiting.popleft(), How.NO_CONNECTION)
+                self._outcome(conn.waiting.popleft(), OutcomeKind.NO_CONNECTION)
 
     _connect_over = not_reached
 
@@ -245,17 +245,17 @@
             return self.not_reached(conn)
         conn.lost = True
         for attempt in list(conn.works):
-            self._outcome(attempt, How.RESET)
+            self._outcome(attempt, OutcomeKind.RESET)
         conn.works.clear()
 
     def told(
-        self, conn: Conn, attempt: Attempt, how: How, shard: int, report: tuple[float, ...], elsewhere: int
+        self, conn: Conn, attempt: Attempt, how: OutcomeKind, shard: int, report: tuple[float, ...], elsewhere: int
     ) -> None:
         if not conn.lost:
             conn.works.pop(attempt, None)
             self.core.record_outcome(self.clock(), attempt, how, shard=shard, report=report, elsewhere=elsewhere)
 
-    def _outcome(self, attempt: Attempt, how: How) -> None:
+    def _outcome(self, attempt: Attempt, how: OutcomeKind) -> None:
         self.core.record_outcome(self.clock(), attempt, how)
 
 
--- a/tansykeel/emulator/oracle.py
+++ b/tansykeel/emulator/oracle.py
@@ -11,12 +11,24 @@
 from dataclasses import dataclass
 
 from tansykeel.baselines import SendAtOnce
-from tansykeel.brain.volumes import Extras
+from tansykeel.brain.volumes import RetryBudget
 from tansykeel.emulator.engine import Engine
 from tansykeel.emulator.gateway import Gateway
 from tansykeel.emulator.stores import SimStore
-from tansykeel.interface import Desk, Facts, HandOff, How, Outcome, Repeat, Signal, State, Store, Task, Wait
-from tansykeel.runner import Run
+from tansykeel.interface import (
+    HandOff,
+    Outcome,
+    OutcomeKind,
+    RepeatSafety,
+    Runtime,
+    SchedulerConfig,
+    Store,
+    StoreState,
+    Task,
+    Wait,
+    WakeReason,
+)
+from tansykeel.runner import TaskGenerator
 from tansykeel.settings.day import Day
 
 SECOND = 10_000
@@ -44,8 +56,8 @@
         self.used: dict[object, tuple[int, float]] = {}  # by volume's name: its second, units sent in it
         self.allowed: dict[object, tuple[float, int]] = {}  # by volume's name: what its limit has left, when
 
-    def __call__(self, facts: Facts, seed: int, desk: Desk) -> TrueView:
-        return TrueView(self, facts, seed, desk)
+    def __call__(self, config: SchedulerConfig, seed: int, runtime: Runtime) -> TrueView:
+        return TrueView(self, config, seed, runtime)
 
     def power(self, store: SimStore) -> float:
         """Part of its full power that a store has now; none while it stands still."""
@@ -123,63 +135,65 @@
 
 
 class TrueView(SendAtOnce):
-    def __init__(self, eye: Eye, facts: Facts, seed: int, desk: Desk) -> None:
-        super().__init__(facts, seed, desk)
+    def __init__(self, eye: Eye, config: SchedulerConfig, seed: int, runtime: Runtime) -> None:
+        super().__init__(config, seed, runtime)
         self.eye = eye
-        self.extras = Extras(facts.budget, desk.now) if facts.budget else None
+        self.retry_budget = RetryBudget(config.retry_budget, runtime.now) if config.retry_budget else None
 
     def turn(self, task: Task) -> None:
         """The gateway may be another than the one whose event led to this: it is told by an event of its own."""
-        gateway = self.eye.gateways[self.facts.me]
-        self.desk.wake(task, Signal.TURN)
+        gateway = self.eye.gateways[self.config.gateway_index]
+        self.runtime.wake(task, WakeReason.GRANTED)
         gateway.engine.after(0, gateway.tell, gateway.life, self.look)
 
     def look(self) -> None:
-        gateway = self.eye.gateways[self.facts.me]
-        gateway.core.runner.move(gateway.clock())
-        gateway.core.runner.settle()
+        gateway = self.eye.gateways[self.config.gateway_index]
+        gateway.core.runner.advance_clock(gateway.clock())
+        gateway.core.runner.run_pending()
 
     def true_store(self, task: Task) -> tuple[Store, SimStore] | None:
         """The store for a task, if the list tells of the one that is there; the emptiest for a new object."""
-        addresses = self.eye.gateways[self.facts.me].core.addresses
+        addresses = self.eye.gateways[self.config.gateway_index].core.addresses
         listed = [store for store in self.by_shard.values() if task.shard in (None, store.shard)]
         there = [(store, self.eye.stores[addresses[store]]) for store in listed]
-        found = [(store, true) for store, true in there if store.state is State.READY and true.listening]
+        found = [(store, true) for store, true in there if store.state is StoreState.READY and true.listening]
         return min(found, key=lambda pair: self.eye.out[pair[1]] + len(self.eye.waiting[pair[1]]), default=None)
 
-    def serve(self, task: Task) -> Run:
-        now = self.desk.now
+    def serve(self, task: Task) -> TaskGenerator:
+        now = self.runtime.now
         aim = min(now + task.category.soft_limit, task.deadline - 1)
-        if self.extras is not None:
-            self.extras.taken.append(now)
-        allowed = self.facts.allowed.hand_offs
-        while self.desk.now < aim and task.hand_offs < allowed:
+        if self.retry_budget is not None:
+            self.retry_budget.tasks.append(now)
+        allowed = self.config.allowed.hand_offs
+        while self.runtime.now < aim and task.hand_offs < allowed:
             found = self.true_store(task)
             if found is None:
-                yield Wait(min(self.desk.now + LOOK, aim))
+                yield Wait(min(self.runtime.now + LOOK, aim))
                 continue
             store, true = found
             seat = Seat(task, self, aim)
             try:
                 self.eye.waiting[true].append(seat)
                 self.eye.pass_on(true)
-                while not seat.granted and self.desk.now < aim and store.state is State.READY and true.listening:
-                    yield Wait(min(self.desk.now + LOOK, aim))
-                if not seat.granted or store.state is not State.READY:
+                while (
+                    not seat.granted and self.runtime.now < aim and store.state is StoreState.READY and true.listening
+                ):
+                    yield Wait(min(self.runtime.now + LOOK, aim))
+                if not seat.granted or store.state is not StoreState.READY:
                     continue
-                if task.hand_offs and self.extras is not None:
-                    self.extras.extras.append(self.desk.now)
+                if task.hand_offs and self.retry_budget is not None:
+                    self.retry_budget.retries.append(self.runtime.now)
                 task.hand_offs += 1
-                sent, outcome = self.desk.now, (yield HandOff(store))
+                sent, outcome = self.runtime.now, (yield HandOff(store))
                 assert isinstance(outcome, Outcome)
             finally:
                 self.eye.leave(true, seat)
-            if outcome.over or outcome.how is How.DELIVERED:
+            if outcome.task_answered or outcome.kind is OutcomeKind.DELIVERED:
                 return
             if not outcome.never_ran:
                 task.may_have_run.append((store, sent))
-                if task.category.repeat is not Repeat.HARMLESS:
+                if task.category.repeat is not RepeatSafety.IDEMPOTENT:
                     break
-            if self.extras is not None and not self.extras.room(self.desk.now):
+            if self.retry_budget is not None and not self.retry_budget.allows(self.runtime.now):
                 break
-        yield self.final(task)
+        yield self.final_answer(task)
--- a/tansykeel/settings/build.py
+++ b/tansykeel/settings/build.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tansykeel.interface import Facts, Plan, Repeat, Scope, Sizes
+from tansykeel.interface import DeduplicationScope, Plan, RepeatSafety, SchedulerConfig, TaskSizes
 from tansykeel.settings import facts as make
 from tansykeel.settings import script
 from tansykeel.settings.records import (
@@ -234,7 +234,7 @@
     return collected.settings(path.name)
 
 
-def facts_of(made: Settings, number: int, count: int) -> Facts:
+def facts_of(made: Settings, number: int, count: int) -> SchedulerConfig:
     """What the module of gateway `number` of `count` is started with (source: DESIGN, BRIEF's rules).
 
     Raises ScriptError where the number does not fit the count.
@@ -247,9 +247,9 @@
         named = sum(region.gateways for region in made.regions)
         raise ScriptError(f"regions: {named} gateways in all for {count}; legal: as many in the regions as there are")
     rules, cold, budget = made.rules, made.rules.cold, made.rules.budget
-    return Facts(
+    return SchedulerConfig(
         gateways=count,
-        me=number,
+        gateway_index=number,
         zone=made.gateway.zone,
         categories=tuple(
             make.category(
@@ -258,8 +258,8 @@
                 deadline=c.cut_off_ms * MS,
                 gain=c.gain,
                 late_gain=c.late_gain,
-                repeat=Repeat(c.repeat),
-                scope=Scope(c.scope),
+                repeat=RepeatSafety(c.repeat),
+                scope=DeduplicationScope(c.scope),
                 window=c.window_ms * MS,
                 writes=c.writes,
                 ordered=c.ordered,
@@ -270,7 +270,7 @@
             Plan(p.name, p.rate, p.reserve, p.weight, p.price, p.limit, p.limit_depth, p.limit_slack)
             for p in made.plans
         ),
-        sizes=Sizes(made.sizes.largest, made.sizes.usual),
+        sizes=TaskSizes(made.sizes.largest, made.sizes.usual),
         allowed=make.allowed(
             hand_offs=rules.hand_offs,
             come_back=rules.come_back,
@@ -281,12 +281,12 @@
             peers=made.peers is not None,
         ),
         listing=make.listing(
-            must_ask=bool(made.listing and made.listing.mode == "ask"),
-            ask_within=(made.listing.ask_within_ms if made.listing else 0) * MS,
+            must_poll=bool(made.listing and made.listing.mode == "ask"),
+            poll_within=(made.listing.ask_within_ms if made.listing else 0) * MS,
             drain_grace=(made.listing.drain_grace_ms if made.listing else 0) * MS,
         ),
         answer_grace=make.floor(rules.answer_grace_ms * MS),
-        cold=make.cold_rule(
+        slow_start=make.cold_rule(
             share=cold.share,
             warm_after=cold.warm_s * 1000 * MS,
             multiple=cold.multiple,
@@ -295,10 +295,12 @@
         )
         if cold
         else None,
-        budget=make.budget_rule(span=budget.span_ms * MS, free=budget.free, share=budget.share) if budget else None,
+        retry_budget=make.budget_rule(span=budget.span_ms * MS, free=budget.free, share=budget.share)
+        if budget
+        else None,
         key_rest=make.ceil(rules.key_rest_ms * MS),
         report_fields=(),
-        tells_elsewhere=rules.tells == "node",
+        reports_use_elsewhere=rules.tells == "node",
     )
 
 
--- a/tansykeel/settings/facts.py
+++ b/tansykeel/settings/facts.py
@@ -6,7 +6,15 @@
 
 from __future__ import annotations
 
-from tansykeel.interface import Allowed, BudgetRule, Category, ColdRule, Listing, Repeat, Scope
+from tansykeel.interface import (
+    AllowedActions,
+    Category,
+    DeduplicationScope,
+    RepeatSafety,
+    RetryBudgetRule,
+    SlowStartRule,
+    StoreListRule,
+)
 
 TENTH = 100_000  # nanoseconds in a tenth of a millisecond
 
@@ -28,8 +36,8 @@
     deadline: float,
     gain: float,
     late_gain: float,
-    repeat: Repeat,
-    scope: Scope,
+    repeat: RepeatSafety,
+    scope: DeduplicationScope,
     window: float,
     writes: bool,
     ordered: bool,
@@ -50,14 +58,16 @@
     )
 
 
-def cold_rule(*, share: float, warm_after: float, multiple: float, span: float, always_safe: float) -> ColdRule | None:
+def cold_rule(
+    *, share: float, warm_after: float, multiple: float, span: float, always_safe: float
+) -> SlowStartRule | None:
     """None where no span is given: such a deployment has no rule on cold stores."""
-    return ColdRule(share, ceil(warm_after), multiple, ceil(span), always_safe) if span else None
+    return SlowStartRule(share, ceil(warm_after), multiple, ceil(span), always_safe) if span else None
 
 
-def budget_rule(*, span: float, free: float, share: float) -> BudgetRule | None:
+def budget_rule(*, span: float, free: float, share: float) -> RetryBudgetRule | None:
     """None where no span is given: further hand-offs have no budget there."""
-    return BudgetRule(ceil(span), free, share) if span else None
+    return RetryBudgetRule(ceil(span), free, share) if span else None
 
 
 def allowed(
@@ -69,9 +79,9 @@
     cancel: bool,
     probes: bool,
     peers: bool = False,
-) -> Allowed:
-    return Allowed(hand_offs, come_back, floor(longest_come_back), copies, cancel, probes, peers)
+) -> AllowedActions:
+    return AllowedActions(hand_offs, come_back, floor(longest_come_back), copies, cancel, probes, peers)
 
 
-def listing(*, must_ask: bool, ask_within: float, drain_grace: float) -> Listing:
-    return Listing(must_ask, floor(ask_within), floor(drain_grace))
+def listing(*, must_poll: bool, poll_within: float, drain_grace: float) -> StoreListRule:
+    return StoreListRule(must_poll, floor(poll_within), floor(drain_grace))
--- a/tansykeel/settings/given.py
+++ b/tansykeel/settings/given.py
@@ -8,12 +8,16 @@
 from typing import Any
 
 from tansykeel.errors import Problem
-from tansykeel.interface import Facts, Plan, Repeat, Scope, Sizes
+from tansykeel.interface import DeduplicationScope, Plan, RepeatSafety, SchedulerConfig, TaskSizes
 from tansykeel.settings import facts as make
 from tansykeel.settings.facts import ceil, floor
 
-REPEATS = {"idempotent": Repeat.HARMLESS, "deduplicated": Repeat.STAMPED, "at_most_once": Repeat.ONE_SHOT}
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.SHARD}
+REPEATS = {
+    "idempotent": RepeatSafety.IDEMPOTENT,
+    "deduplicated": RepeatSafety.DEDUPLICATED,
+    "at_most_once": RepeatSafety.AT_MOST_ONCE,
+}
+SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.SHARD}
 
 
 class NotLegal(Problem, ValueError):
@@ -28,7 +32,7 @@
     return table[value]
 
 
-def facts_of(raw: Any) -> Facts:
+def facts_of(raw: Any) -> SchedulerConfig:
     """Turn the settings into our records; what may be absent is absent here too. Raises NotLegal."""
     if not isinstance(raw, dict):
         raise NotLegal("settings are not a JSON object")
@@ -42,7 +46,7 @@
         raise NotLegal(f"settings hold a value of the wrong kind: {error}") from error
 
 
-def _facts(raw: dict[str, Any]) -> Facts:
+def _facts(raw: dict[str, Any]) -> SchedulerConfig:
     rules, limits, specifics = raw["Rules"], raw["Limits"], raw.get("Specifics") or {}
     writes = specifics.get("ChangesData") or [False] * len(raw["Classes"])
     categories = tuple(
@@ -84,13 +88,13 @@
     budget = make.budget_rule(
         span=rules.get("BudgetSpan") or 0, free=rules.get("MinExtra") or 0.0, share=rules.get("ExtraRatio") or 0.0
     )
-    return Facts(
+    return SchedulerConfig(
         gateways=raw["Siblings"],
-        me=raw["Me"],
+        gateway_index=raw["Me"],
         zone=raw["Zone"],
         categories=categories,
         plans=plans,
-        sizes=Sizes(specifics.get("Largest") or 0.0, specifics.get("UsualUnits") or 0.0),
+        sizes=TaskSizes(specifics.get("Largest") or 0.0, specifics.get("UsualUnits") or 0.0),
         allowed=make.allowed(
             hand_offs=limits["MostTries"],
             come_back=bool(limits.get("RetryAfter")),
@@ -101,14 +105,14 @@
             peers=bool(limits.get("Peers")),
         ),
         listing=make.listing(
-            must_ask=raw["MembershipMode"] == "ask",
-            ask_within=rules.get("AskWithin") or 0,
+            must_poll=raw["MembershipMode"] == "ask",
+            poll_within=rules.get("AskWithin") or 0,
             drain_grace=rules.get("StopSendingWithin") or 0,
         ),
         answer_grace=floor(rules.get("GraceToAnswer") or 0),
-        cold=cold,
-        budget=budget,
+        slow_start=cold,
+        retry_budget=budget,
         key_rest=ceil(rules.get("KeyQuiet") or 0),
         report_fields=tuple((raw.get("Report") or {}).get("Fields") or ()),
-        tells_elsewhere=bool(specifics.get("TellsElsewhere")),
+        reports_use_elsewhere=bool(specifics.get("TellsElsewhere")),
     )
--- a/tests/audit/test_rules.py
+++ b/tests/audit/test_rules.py
@@ -28,38 +28,38 @@
 from tansykeel.audit.rules import RULES, Law
 from tansykeel.audit.service import count
 from tansykeel.interface import (
-    Allowed,
-    BudgetRule,
+    AllowedActions,
     Category,
-    ColdRule,
-    Facts,
-    Listing,
+    DeduplicationScope,
     Plan,
-    Repeat,
-    Scope,
-    Sizes,
+    RepeatSafety,
+    RetryBudgetRule,
+    SchedulerConfig,
+    SlowStartRule,
+    StoreListRule,
+    TaskSizes,
 )
 from tansykeel.settings.shape import Shape
 
 S = 1_000_000
-READ = Category("read", 3_000, 20_000, 1.0, 0.1, Repeat.HARMLESS, Scope.ALL, 0, False, False, 0.0)
-POST = replace(READ, name="post", repeat=Repeat.ONE_SHOT, ordered=True)
-PAY = replace(READ, name="pay", repeat=Repeat.STAMPED, scope=Scope.SHARD, window=50_000)
+READ = Category("read", 3_000, 20_000, 1.0, 0.1, RepeatSafety.IDEMPOTENT, DeduplicationScope.ALL, 0, False, False, 0.0)
+POST = replace(READ, name="post", repeat=RepeatSafety.AT_MOST_ONCE, ordered=True)
+PAY = replace(READ, name="pay", repeat=RepeatSafety.DEDUPLICATED, scope=DeduplicationScope.SHARD, window=50_000)
 PLAN = Plan("basic", 10.0, 2.0, 1.0, 1.0, 5.0, 20.0, 1.0)
 SHAPE = Shape(cores=1, unit_ms=10.0, cold_share=0.1, cold_s=10, fall_multiple=2.0, fall_s=1.0)
 LAW = Law(
-    Facts(
+    SchedulerConfig(
         2,
         0,
         0,
         (READ, POST, PAY),
         (PLAN,),
-        Sizes(4.0, 1.0),
-        Allowed(3, True, 0, False, True, False),
-        Listing(False, 0, 5_000),
+        TaskSizes(4.0, 1.0),
+        AllowedActions(3, True, 0, False, True, False),
+        StoreListRule(False, 0, 5_000),
         500,
-        ColdRule(0.1, 100_000, 2.0, 10_000, 20.0),
-        BudgetRule(10_000, 1, 0.1),
+        SlowStartRule(0.1, 100_000, 2.0, 10_000, 20.0),
+        RetryBudgetRule(10_000, 1, 0.1),
         2_000,
         (),
     ),
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -1,16 +1,16 @@
-"""The adapter and the runner: frames in, frames out, plain words on what is malformed."""
+"""The simulator's adapter and the runner: frames read and written, errors that name what is malformed."""
 
 from __future__ import annotations
 
 import io
 
 import pytest
-from helpers import Desk, task
+from helpers import Runtime, task
 
 from tansykeel.benchlink import words
 from tansykeel.benchlink.host import read_facts
 from tansykeel.benchlink.wire import EVERYONE, Dropped, Malformed, Outbox, Query, Reminder, batches
-from tansykeel.interface import Nack, Signal, Wait
+from tansykeel.interface import Nack, Wait, WakeReason
 from tansykeel.runner import Runner
 
 FRAME = bytes.fromhex(
@@ -49,7 +49,7 @@
     )
 
 
-def test_a_word_to_all_is_written_as_the_wire_describes_it():
+def test_a_message_to_all_gateways_is_written_as_the_wire_describes_it():
     out = Outbox()
     out.tell(3, EVERYONE, b"hi!!")
     assert out.frame() == bytes.fromhex("00000001 00000024 0107 00000003 ffff 00000000 00000004" + "00" * 16) + b"hi!!"
@@ -64,7 +64,7 @@
         (1e6, True, 327.67),
     ],
 )
-def test_a_word_arrives_rounded_down_so_that_no_unit_is_made_on_the_way(units, gift, back):
+def test_units_in_a_message_are_rounded_down_so_that_none_are_created(units, gift, back):
     assert words.read(words.write(2**64 - 1, units, gift)) == (2**64 - 1, back, gift)
 
 
@@ -72,7 +72,7 @@
     assert words.read(words.write(None, 0.0, False)) == (None, 0.0, False)
 
 
-def test_bytes_that_are_no_word_are_named():
+def test_bytes_that_are_no_message_are_named():
     with pytest.raises(ValueError, match="9 bytes; legal: 10"):
         words.read(b"123456789")
 
@@ -104,16 +104,16 @@
         read_facts(text)
 
 
-class Door(list):
-    """Notes what the runner does outside."""
+class EffectHandler(list):
+    """Records the effects that the runner asks for."""
 
     def __getattr__(self, name):
         return lambda *args: self.append((name, args[-1]))
 
 
 def test_the_runner_resumes_a_held_task_once_and_ignores_its_old_timer():
-    door = Door()
-    runner, held = Runner(door, 0), task(Desk())
+    effects = EffectHandler()
+    runner, held = Runner(effects, 0), task(Runtime())
     seen = []
 
     def run():
@@ -122,11 +122,11 @@
         yield Nack(7)
 
     runner.start(held, run())
-    runner.wake(held, Signal.TURN)
-    runner.settle()
-    runner.move(200)
-    runner.reminded()
-    assert seen == [Signal.TURN]
-    runner.move(300)
-    runner.reminded()
-    assert seen == [Signal.TURN, Signal.TIME] and door[-1] == ("nack", 7)
+    runner.wake(held, WakeReason.GRANTED)
+    runner.run_pending()
+    runner.advance_clock(200)
+    runner.timer_fired()
+    assert seen == [WakeReason.GRANTED]
+    runner.advance_clock(300)
+    runner.timer_fired()
+    assert seen == [WakeReason.GRANTED, WakeReason.TIMER] and effects[-1] == ("nack", 7)
--- a/tests/brain/test_tasks.py
+++ b/tests/brain/test_tasks.py
@@ -1,121 +1,132 @@
-"""A task on its way: who may go where, order by key, answers, the list."""
+"""The path of a task: where it may go, order by key, final answers, the list of stores."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 import pytest
-from helpers import HARMLESS, ONE_SHOT, STAMPED, facts, heard, outcome, scheduler, store, task, turn
+from helpers import (
+    AT_MOST_ONCE,
+    DEDUPLICATED,
+    IDEMPOTENT,
+    add_samples,
+    config,
+    outcome,
+    run_until_granted,
+    scheduler,
+    store,
+    task,
+)
 
 from tansykeel.brain import Scheduler
 from tansykeel.interface import (
     BreakOff,
-    BudgetRule,
+    DeduplicationScope,
     HandOff,
-    How,
-    Listing,
     Nack,
-    Scope,
-    Signal,
-    State,
+    OutcomeKind,
+    RetryBudgetRule,
+    StoreListRule,
+    StoreState,
     Wait,
+    WakeReason,
 )
 
 
 def test_an_idle_node_takes_a_task_and_delivery_ends_it():
     at = store()
-    brain, desk = scheduler([at])
-    run = brain.serve(task(desk))
-    want = turn(run, desk, brain)
-    assert isinstance(want, HandOff) and want.store is at
+    brain, runtime = scheduler([at])
+    run = brain.serve(task(runtime))
+    action = run_until_granted(run, runtime, brain)
+    assert isinstance(action, HandOff) and action.store is at
     with pytest.raises(StopIteration):
-        run.send(outcome(How.DELIVERED))
+        run.send(outcome(OutcomeKind.DELIVERED))
     node = brain.nodes[at]
-    assert (node.out, node.tokens_out, node.held) == (0, 0.0, 0)
+    assert (node.in_flight, node.tokens_out, node.held_count) == (0, 0.0, 0)
 
 
 @pytest.mark.parametrize(
-    "how, kind, category",
+    "outcome_kind, action, category",
     [
-        (How.ERROR, BreakOff, ONE_SHOT),
-        (How.TIMED_OUT, BreakOff, ONE_SHOT),
-        (How.RESET, BreakOff, ONE_SHOT),
-        (How.CANCELLED, BreakOff, ONE_SHOT),
-        (How.FULL, Wait, ONE_SHOT),
-        (How.NO_CONNECTION, Wait, ONE_SHOT),
-        (How.ERROR, Wait, HARMLESS),
+        (OutcomeKind.ERROR, BreakOff, AT_MOST_ONCE),
+        (OutcomeKind.TIMED_OUT, BreakOff, AT_MOST_ONCE),
+        (OutcomeKind.RESET, BreakOff, AT_MOST_ONCE),
+        (OutcomeKind.CANCELLED, BreakOff, AT_MOST_ONCE),
+        (OutcomeKind.QUEUE_FULL, Wait, AT_MOST_ONCE),
+        (OutcomeKind.NO_CONNECTION, Wait, AT_MOST_ONCE),
+        (OutcomeKind.ERROR, Wait, IDEMPOTENT),
     ],
 )
-def test_after_an_outcome_only_what_is_legal_follows(how, kind, category):
-    brain, desk = scheduler([store()])
-    run = brain.serve(task(desk, category=category))
-    turn(run, desk, brain)
-    assert isinstance(run.send(outcome(how)), kind)
+def test_after_an_outcome_only_allowed_actions_follow(outcome_kind, action, category):
+    brain, runtime = scheduler([store()])
+    run = brain.serve(task(runtime, category=category))
+    run_until_granted(run, runtime, brain)
+    assert isinstance(run.send(outcome(outcome_kind)), action)
 
 
 @pytest.mark.parametrize(
-    "scope, other, later, legal",
+    "scope, other, later, allowed",
     [
-        (Scope.SHARD, dict(shard=0), 10, True),
-        (Scope.SHARD, dict(shard=1), 10, False),
-        (Scope.ZONE, dict(shard=1, zone=0), 10, True),
-        (Scope.ZONE, dict(shard=1, zone=1), 10, False),
-        (Scope.ALL, dict(shard=1, zone=1), 10, True),
-        (Scope.ALL, dict(shard=0), 5_000, False),
+        (DeduplicationScope.SHARD, dict(shard=0), 10, True),
+        (DeduplicationScope.SHARD, dict(shard=1), 10, False),
+        (DeduplicationScope.ZONE, dict(shard=1, zone=0), 10, True),
+        (DeduplicationScope.ZONE, dict(shard=1, zone=1), 10, False),
+        (DeduplicationScope.ALL, dict(shard=1, zone=1), 10, True),
+        (DeduplicationScope.ALL, dict(shard=0), 5_000, False),
     ],
 )
-def test_a_stamped_task_that_may_have_run_stays_in_its_group_and_window(scope, other, later, legal):
+def test_a_deduplicated_task_that_may_have_run_stays_in_its_scope_and_window(scope, other, later, allowed):
     first = store()
-    brain, desk = scheduler([first])
-    repeat = task(desk, category=replace(STAMPED, scope=scope))
-    repeat.may_have_run.append((first, desk.now))
-    desk.now += later
-    assert brain.in_group(repeat, store(**other)) is legal
+    brain, runtime = scheduler([first])
+    repeat = task(runtime, category=replace(DEDUPLICATED, scope=scope))
+    repeat.may_have_run.append((first, runtime.now))
+    runtime.now += later
+    assert brain.may_go_to(repeat, store(**other)) is allowed
 
 
 @pytest.mark.parametrize(
     "category, ran, answer",
     [
-        (HARMLESS, True, Nack),
-        (ONE_SHOT, True, BreakOff),
-        (ONE_SHOT, False, Nack),
-        (STAMPED, True, BreakOff),
-        (replace(STAMPED, scope=Scope.ALL), True, Nack),
+        (IDEMPOTENT, True, Nack),
+        (AT_MOST_ONCE, True, BreakOff),
+        (AT_MOST_ONCE, False, Nack),
+        (DEDUPLICATED, True, BreakOff),
+        (replace(DEDUPLICATED, scope=DeduplicationScope.ALL), True, Nack),
     ],
 )
-def test_a_nack_is_given_only_where_its_promise_holds(category, ran, answer):
-    brain, desk = scheduler([store()])
-    given_up = task(desk, category=category)
+def test_a_nack_is_given_only_where_a_repeat_is_safe(category, ran, answer):
+    brain, runtime = scheduler([store()])
+    given_up = task(runtime, category=category)
     if ran:
-        given_up.may_have_run.append((store(), desk.now))
-    assert isinstance(brain.final(given_up), answer)
+        given_up.may_have_run.append((store(), runtime.now))
+    assert isinstance(brain.final_answer(given_up), answer)
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_nothing_goes_to_a_node_that_leaves(state):
+@pytest.mark.parametrize("state", [StoreState.DRAINING, StoreState.GONE])
+def test_nothing_is_sent_to_a_node_that_is_draining_or_gone(state):
     at = store()
-    brain, desk = scheduler([at])
+    brain, runtime = scheduler([at])
     node = brain.nodes[at]
     node.rate = 0.0
-    node.sent[task(desk)] = desk.now
-    node.out, node.tokens_out = 1, 100.0
-    held = task(desk)
+    node.sent_at[task(runtime)] = runtime.now
+    node.in_flight, node.tokens_out = 1, 100.0
+    held = task(runtime)
     run = brain.serve(held)
     assert isinstance(next(run), Wait)
     at.state = state
     brain.list_changed([at], confirmed=True)
-    assert desk.woken == [(held, Signal.MOVED)]
-    assert isinstance(run.send(Signal.MOVED), Nack)
+    assert runtime.woken == [(held, WakeReason.RECHECK)]
+    assert isinstance(run.send(WakeReason.RECHECK), Nack)
 
 
 @pytest.mark.parametrize("stores, shard", [([], 0), ([], None), ([store(shard=3)], 0)])
 def test_a_task_that_no_node_can_serve_is_answered_at_once(stores, shard):
-    brain, desk = scheduler(stores)
-    assert isinstance(next(brain.serve(task(desk, shard=shard))), Nack)
+    brain, runtime = scheduler(stores)
+    assert isinstance(next(brain.serve(task(runtime, shard=shard))), Nack)
 
 
 @pytest.mark.parametrize(
-    "sent, extras, later, legal",
+    "sent, retries, later, allowed",
     [
         (0, 0, 0, True),
         (2, 0, 0, True),
@@ -125,69 +136,69 @@
         (0, 0, 10_000, False),
     ],
 )
-def test_a_hand_off_is_legal_only_within_tries_budget_and_time(sent, extras, later, legal):
-    brain, desk = scheduler([store()], budget=BudgetRule(span=50_000, free=1.0, share=0.0))
-    desk.now += 60_000
-    again = task(desk)
-    again.hand_offs = sent
-    brain.extras.extras.extend([desk.now] * extras)
-    desk.now += later
-    assert brain.may_hand_off(again) is legal
-
-
-def test_what_is_no_longer_legal_at_the_turn_is_taken_back():
-    brain, desk = scheduler([store()], budget=BudgetRule(span=50_000, free=1.0, share=0.0))
-    desk.now += 60_000
-    run, node = brain.serve(task(desk)), next(iter(brain.nodes.values()))
-    turn(run, desk, brain)
-    assert isinstance(run.send(outcome(How.ERROR)), Wait)
-    brain.extras.extras.append(desk.now)
-    desk.now += 200
-    node.round()
-    assert isinstance(run.send(Signal.TURN), Nack)
-    assert (node.out, node.tokens_out, node.sent) == (0, 0.0, {})
+def test_a_hand_off_is_allowed_only_within_tries_budget_and_time(sent, retries, later, allowed):
+    brain, runtime = scheduler([store()], retry_budget=RetryBudgetRule(span=50_000, free=1.0, share=0.0))
+    runtime.now += 60_000
+    resent_task = task(runtime)
+    resent_task.hand_offs = sent
+    brain.retry_budget.retries.extend([runtime.now] * retries)
+    runtime.now += later
+    assert brain.may_hand_off(resent_task) is allowed
+
+
+def test_a_granted_hand_off_that_is_no_longer_allowed_is_taken_back():
+    brain, runtime = scheduler([store()], retry_budget=RetryBudgetRule(span=50_000, free=1.0, share=0.0))
+    runtime.now += 60_000
+    run, node = brain.serve(task(runtime)), next(iter(brain.nodes.values()))
+    run_until_granted(run, runtime, brain)
+    assert isinstance(run.send(outcome(OutcomeKind.ERROR)), Wait)
+    brain.retry_budget.retries.append(runtime.now)
+    runtime.now += 200
+    node.run_round()
+    assert isinstance(run.send(WakeReason.GRANTED), Nack)
+    assert (node.in_flight, node.tokens_out, node.sent_at) == (0, 0.0, {})
 
 
 def test_tasks_on_one_key_go_one_at_a_time_and_the_key_rests():
-    ordered = replace(HARMLESS, ordered=True)
-    brain, desk = scheduler([store()], key_rest=700)
-    desk.now += 700
-    first, second = task(desk, category=ordered, key=9), task(desk, category=ordered, key=9)
+    ordered = replace(IDEMPOTENT, ordered=True)
+    brain, runtime = scheduler([store()], key_rest=700)
+    runtime.now += 700
+    first, second = task(runtime, category=ordered, key=9), task(runtime, category=ordered, key=9)
     run, other = brain.serve(first), brain.serve(second)
-    turn(run, desk, brain)
+    run_until_granted(run, runtime, brain)
     assert isinstance(next(other), Wait)
-    desk.woken.clear()
+    runtime.woken.clear()
     with pytest.raises(StopIteration):
-        run.send(outcome(How.TIMED_OUT, over=True))
-    assert desk.woken == [(second, Signal.MOVED)]
-    assert other.send(Signal.MOVED) == Wait(desk.now + 700)
+        run.send(outcome(OutcomeKind.TIMED_OUT, answered=True))
+    assert runtime.woken == [(second, WakeReason.RECHECK)]
+    assert other.send(WakeReason.RECHECK) == Wait(runtime.now + 700)
 
 
-def test_failed_calls_for_the_list_are_spaced_out_within_what_counts_as_told():
-    """The list counts as told 6 s after it could be reached: half of it is left for a call that hangs and the next."""
-    brain, desk = scheduler([], listing=Listing(True, 100_000, 10_000))
-    assert desk.watches == 1
+def test_failed_polls_of_the_list_are_spaced_out_within_the_reporting_time():
+    """A change counts as reported after 6 s: half of that is left for a call that hangs and the next one."""
+    brain, runtime = scheduler([], listing=StoreListRule(True, 100_000, 10_000))
+    assert runtime.list_requests == 1
     for _ in range(40):
         brain.list_failed()
-    times = [at - desk.now for at, call in desk.alarms if call == desk.watch]
+    times = [at - runtime.now for at, call in runtime.calls if call == runtime.request_store_list]
     assert len(times) == 40 and 5_000 <= times[0] <= 15_000
     assert min(times[1:]) >= 10_000 and 25_000 < max(times) <= 30_000
     brain.list_changed([], confirmed=True)
     brain.list_failed()
-    assert desk.alarms[-1][0] - desk.now <= 15_000
+    assert runtime.calls[-1][0] - runtime.now <= 15_000
 
 
-def test_a_pushed_list_that_ended_is_tried_anew_before_a_drain_s_grace_is_over():
-    """What whoever pushes holds meanwhile counts as told, and calls there cost nothing."""
-    brain, desk = scheduler([], listing=Listing(False, 0, 5_000))
+def test_a_pushed_list_that_ended_is_requested_again_within_the_drain_grace():
+    """What the sender of the list holds meanwhile counts as reported, and calls there cost nothing."""
+    brain, runtime = scheduler([], listing=StoreListRule(False, 0, 5_000))
     for _ in range(8):
         brain.list_failed()
-    times = [at - desk.now for at, call in desk.alarms if call == desk.watch]
+    times = [at - runtime.now for at, call in runtime.calls if call == runtime.request_store_list]
     assert len(times) == 8 and min(times) >= 250 and max(times) <= 750
 
 
 @pytest.mark.parametrize(
-    "remaining, aim",
+    "remaining, due",
     [
         (10_000, 2_500),
         (9_000, 1_500),
@@ -197,58 +208,60 @@
         (2_600, -4_900),
     ],
 )
-def test_the_soft_limit_runs_from_the_first_try_unless_patience_is_short(remaining, aim):
-    brain, desk = scheduler([store()])
-    usual, further = task(desk), task(desk)
-    further.deadline = desk.now + remaining
-    assert brain.aim_of(usual) == desk.now + 2_500
-    assert brain.aim_of(further) == desk.now + aim
+def test_the_soft_limit_runs_from_the_first_try_unless_little_time_is_left(remaining, due):
+    brain, runtime = scheduler([store()])
+    usual, further = task(runtime), task(runtime)
+    further.deadline = runtime.now + remaining
+    assert brain.soft_deadline(usual) == runtime.now + 2_500
+    assert brain.soft_deadline(further) == runtime.now + due
 
 
-@pytest.mark.parametrize("wait, want", [(0, Wait), (5_000, Nack)])
-def test_a_task_late_already_goes_only_where_nothing_waits(wait, want):
-    brain, desk = scheduler([store()])
-    next(brain.serve(task(desk)))
-    brain.waits.put(next(iter(brain.nodes)), desk.now, wait)
-    late, node = task(desk), next(iter(brain.nodes.values()))
-    late.deadline = desk.now + 5_000
-    heard(node, *[100] * 8, *[100 + wait] * 4)
-    assert isinstance(next(brain.serve(late)), want)
+@pytest.mark.parametrize("delay, action", [(0, Wait), (5_000, Nack)])
+def test_a_task_past_its_soft_limit_is_sent_only_where_nothing_queues(delay, action):
+    brain, runtime = scheduler([store()])
+    next(brain.serve(task(runtime)))
+    brain.delays.record(next(iter(brain.nodes)), runtime.now, delay)
+    late, node = task(runtime), next(iter(brain.nodes.values()))
+    late.deadline = runtime.now + 5_000
+    add_samples(node, *[100] * 8, *[100 + delay] * 4)
+    assert isinstance(next(brain.serve(late)), action)
 
 
 def test_a_replacement_under_a_new_id_takes_the_shard_over():
     at, new = store(), store()
-    brain, desk = scheduler([at])
-    at.state = State.GONE
+    brain, runtime = scheduler([at])
+    at.state = StoreState.GONE
     brain.list_changed([at], confirmed=True)
-    assert isinstance(next(brain.serve(task(desk))), Nack)
+    assert isinstance(next(brain.serve(task(runtime))), Nack)
     brain.list_changed([at, new], confirmed=True)
-    assert brain.node_for(task(desk)) is brain.nodes[new]
+    assert brain.node_for(task(runtime)) is brain.nodes[new]
 
 
-@pytest.mark.parametrize("signal", [Signal.TIME, Signal.TURN])
-def test_a_wake_up_far_past_its_time_sends_nothing(signal):
-    brain, desk = scheduler([store()])
-    next(iter(brain.nodes.values())).out = 1
-    run = brain.serve(task(desk))
+@pytest.mark.parametrize("signal", [WakeReason.TIMER, WakeReason.GRANTED])
+def test_a_task_woken_after_its_deadline_is_not_sent(signal):
+    brain, runtime = scheduler([store()])
+    next(iter(brain.nodes.values())).in_flight = 1
+    run = brain.serve(task(runtime))
     assert isinstance(next(run), Wait)
-    desk.now += 50_000
-    if signal is Signal.TURN:
+    runtime.now += 50_000
+    if signal is WakeReason.GRANTED:
         next(iter(brain.nodes.values())).release(0.0)
     assert isinstance(run.send(signal), Nack)
 
 
-def test_two_instances_with_one_seed_act_alike():
-    brain, desk = scheduler([store(shard) for shard in range(5)])
-    other = Scheduler(facts(), 1, desk)
+def test_two_schedulers_with_one_seed_rank_alike():
+    brain, runtime = scheduler([store(shard) for shard in range(5)])
+    other = Scheduler(config(), 1, runtime)
     other.list_changed([store(shard) for shard in range(5)], confirmed=True)
     assert [n.store.shard for n in brain.ranked] == [n.store.shard for n in other.ranked]
 
 
-def test_no_key_is_used_until_those_of_an_earlier_life_have_rested():
-    ordered = replace(HARMLESS, ordered=True)
-    brain, desk = scheduler([store()], key_rest=700)
-    run = brain.serve(task(desk, category=ordered, key=9))
-    assert next(run).until == desk.now + 700
-    desk.now += 700
-    assert isinstance(run.send(Signal.TIME), Wait) and desk.woken[-1][1] is Signal.TURN  # it is its node's turn now
+def test_no_key_is_used_until_it_has_rested_since_an_earlier_process():
+    ordered = replace(IDEMPOTENT, ordered=True)
+    brain, runtime = scheduler([store()], key_rest=700)
+    run = brain.serve(task(runtime, category=ordered, key=9))
+    assert next(run).until == runtime.now + 700
+    runtime.now += 700
+    assert (
+        isinstance(run.send(WakeReason.TIMER), Wait) and runtime.woken[-1][1] is WakeReason.GRANTED
+    )  # its node has granted it
--- a/tests/broken_edge.py
+++ b/tests/broken_edge.py
@@ -38,10 +38,10 @@
     """Any task is sent again, also a one-shot one that may have run."""
 
     def may_hand_off(self, task):
-        return task.hand_offs < self.facts.allowed.hand_offs and self.desk.now < task.deadline
+        return task.hand_offs < self.config.allowed.hand_offs and self.runtime.now < task.deadline
 
     Scheduler.may_hand_off = may_hand_off
-    Scheduler.in_group = lambda self, task, store: True
+    Scheduler.may_go_to = lambda self, task, store: True
     return facts
 
 
@@ -60,7 +60,7 @@
 
 def knows_no_cold_store(facts):
     """Restarted stores get as much as warm ones."""
-    return replace(facts, cold=None)
+    return replace(facts, slow_start=None)
 
 
 def keeps_no_order(facts):
@@ -70,7 +70,7 @@
 
 def has_no_budget(facts):
     """Hand-offs beyond the first are not limited by the budget."""
-    return replace(facts, budget=None)
+    return replace(facts, retry_budget=None)
 
 
 def knows_no_limit(facts):
--- a/tests/edge/test_control_session.py
+++ b/tests/edge/test_control_session.py
@@ -84,7 +84,7 @@
             assert setup.session.is_open and setup.first.received[0][:2] == ("edge-3", 77)
             assert setup.first.of(SessionOpen)[0] == SessionOpen("ours", "edge-3", "north")
             assert not setup.second.received and not setup.third.received
-            _, even_parts = setup.session.allotments.earned(started_at, clock())
+            _, even_parts = setup.session.allotments.accrued(started_at, clock())
             assert even_parts == pytest.approx(float(part_of(UNITS, GATEWAYS) * GATEWAYS))
             await until(lambda: len(setup.first.of(Heartbeat)) >= 4)
             beats = [beat.asked_at for beat in setup.first.of(Heartbeat)]
@@ -235,7 +235,7 @@
         edge = Edge(settings, facts_of(settings, 1, 2), 1, claim_observer=lambda *claim: claims.append(claim[3].units))
         serving = asyncio.create_task(edge.serve(port.set_result))
         await port
-        assert edge.core.runner.parts.earned(clock(), clock())[1] == pytest.approx(0.2)
+        assert edge.core.runner.shares.accrued(clock(), clock())[1] == pytest.approx(0.2)
         for node in nodes:
             await node.start()
         await until(lambda: UNITS in claims)
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -9,7 +9,7 @@
 import pytest
 from stage import FakeStore, deliver, hang, reply_outcome, reset, run_test, staged, until
 
-from tansykeel.brain.cold import BY_ASKED
+from tansykeel.brain.cold import DEMAND_PART
 from tansykeel.protocol.frames import Cancel, Cut, Error, Goodbye, OutcomeOf, TaskOf
 
 DELIVERED, NACKED, BROKEN_OFF = 0, 1, 2
@@ -238,9 +238,9 @@
         store.boot, store.age = 2, 1000
         async with staged(store, rules=cold) as stage:
             client = await stage.client()
-            results = [(await client.answer(client.ask(size=1, patience=0.5))).result for _ in range(12)]
+            codes = [(await client.answer(client.ask(size=1, patience=0.5))).result for _ in range(12)]
             # It may get 2 * 0.2 of what is asked, twice that while it has no queue, and a little more with time.
-            assert NACKED in results and 1 <= sum(h.units for h in store.received) <= 12 * BY_ASKED * 2 * 2 * 0.2 + 1.5
+            assert NACKED in codes and 1 <= sum(h.units for h in store.received) <= 12 * DEMAND_PART * 2 * 2 * 0.2 + 1.5
             assert stage.edge.core.counts.outcomes["moot"] == 1  # decided before the hello and not sent
 
     run_test(go())
@@ -348,8 +348,7 @@
 
 
 def test_a_task_sent_before_its_client_knows_of_the_shutdown_is_answered():
-    """Guards against connections closed as soon as nothing is held: this task comes when the shutdown has begun and
-    its client has not heard of it yet."""
+    """Guards against connections closed as soon as nothing is held: the client has not heard of the shutdown yet."""
 
     async def go():
         async with staged(FakeStore("s0", 0, deliver)) as stage:
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tansykeel.interface import Repeat
+from tansykeel.interface import RepeatSafety
 from tansykeel.settings.build import Script, facts_of, load, text_of
 from tansykeel.settings.script import ScriptError, run_text
 
@@ -32,10 +32,10 @@
 
 def test_facts_come_from_the_script_and_round_against_ourselves(written):
     facts = facts_of(load(written(GOOD)), 1, 3)
-    assert (facts.me, facts.gateways, facts.listing.must_ask) == (1, 3, True)
+    assert (facts.gateway_index, facts.gateways, facts.listing.must_poll) == (1, 3, True)
     assert [c.soft_limit for c in facts.categories] == [2500, 2500]
-    assert facts.categories[1].repeat is Repeat.STAMPED and facts.key_rest == 1
-    assert facts.cold.span == 10_000 and facts.budget.free == 3
+    assert facts.categories[1].repeat is RepeatSafety.DEDUPLICATED and facts.key_rest == 1
+    assert facts.slow_start.span == 10_000 and facts.retry_budget.free == 3
 
 
 TWO = 'peers(addresses = ["127.0.0.1:7001", "127.0.0.1:7002"])'
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("tells, elsewhere", [("node", True), ("fleet", False)])
 def test_what_stores_tell_of_a_volumes_use_comes_from_the_script(written, tells, elsewhere):
     made = load(written(GOOD.replace("rules(", f'rules(tells="{tells}", ')))
-    assert facts_of(made, 0, 1).tells_elsewhere is elsewhere
+    assert facts_of(made, 0, 1).reports_use_elsewhere is elsewhere
 
 
 def test_peers_name_each_gateway_once(written):
