--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -53,7 +53,7 @@
 
 
 class Core:
-    """Holds a gateway's tasks and implements the `EffectHandler` through which the runner passes on the module's actions.
+    """Holds a gateway's tasks and implements the `EffectHandler` through which the runner carries out actions.
 
     `known_stores` are the stores as they were last reported, used until a list confirms them. `make_module` creates
     the decision module. `parts` tells this gateway's part of the totals that all gateways divide; None: equal parts.
