--- a/tansykeel/cli/records.py
+++ b/tansykeel/cli/records.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from tansykeel.control.actions import CountedLease
+    from tansykeel.control.actions import EffectiveLease
 
 
 def allotment_recorder(path: Path) -> Callable[..., None]:
@@ -23,14 +23,14 @@
     return counted
 
 
-def claim_recorder(path: Path) -> Callable[[int, str, int, CountedLease], None]:
+def claim_recorder(path: Path) -> Callable[[int, str, int, EffectiveLease], None]:
     """Records at once what a gateway with a session to a control node counts by."""
     from tansykeel.audit.records import LeaseClaimed, Recorder, now_us
     from tansykeel.edge.clock import microseconds_of
 
     recorder = Recorder(path)
 
-    def claimed(now: int, gateway: str, incarnation: int, claim: CountedLease) -> None:
+    def claimed(now: int, gateway: str, incarnation: int, claim: EffectiveLease) -> None:
         at = now_us()  # whole tenths of a millisecond would put it before the frame that brought the lease
         if claim.node:
             until = microseconds_of(claim.until)
--- a/tansykeel/control/actions.py
+++ b/tansykeel/control/actions.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CountedLease:
+class EffectiveLease:
     """What a gateway counts by: the control node that granted it, and until when; no node: the safe part alone."""
 
     node: str
--- a/tansykeel/control/gateway_session.py
+++ b/tansykeel/control/gateway_session.py
@@ -9,7 +9,7 @@
 from collections import deque
 from enum import Enum
 
-from tansykeel.control.actions import WHOLE_UNITS, CountedLease, SessionTerms
+from tansykeel.control.actions import WHOLE_UNITS, EffectiveLease, SessionTerms
 from tansykeel.protocol.frames import Heartbeat, LeaseRenewal, SessionAccepted
 
 MICROSECONDS_PER_TICK = 100
@@ -113,7 +113,7 @@
             return RefusedRenewal.BEYOND_TERMS
         return RefusedRenewal.BEYOND_WHOLE if renewal.units > WHOLE_UNITS else None
 
-    def renewed(self, now: int, renewal: LeaseRenewal) -> CountedLease:
+    def renewed(self, now: int, renewal: LeaseRenewal) -> EffectiveLease:
         """Take a renewal that was not refused, and return the lease to be counted by."""
         while self._unanswered and self._unanswered[0] <= renewal.asked_at:
             self._unanswered.popleft()
@@ -123,4 +123,4 @@
             self.without_units_since = now
         self.units = renewal.units
         until = renewal.asked_at + renewal.valid_for // MICROSECONDS_PER_TICK
-        return CountedLease(self.node, self.number, renewal.lease, renewal.units, until)
+        return EffectiveLease(self.node, self.number, renewal.lease, renewal.units, until)
--- a/tansykeel/control/held_lease.py
+++ b/tansykeel/control/held_lease.py
@@ -10,9 +10,9 @@
 
 from tansykeel.cluster.allotments import Allotments
 from tansykeel.cluster.membership import SAFE_FRACTION
-from tansykeel.control.actions import CountedLease, part_of
+from tansykeel.control.actions import EffectiveLease, part_of
 
-NO_LEASE = CountedLease("", 0, 0, 0, 0)
+NO_LEASE = EffectiveLease("", 0, 0, 0, 0)
 
 
 class HeldLease:
@@ -25,7 +25,7 @@
         self._lease = NO_LEASE
         self._recorded = NO_LEASE
 
-    def counts(self, now: int) -> CountedLease:
+    def counts(self, now: int) -> EffectiveLease:
         """Return the lease that counts at this moment, or `NO_LEASE`."""
         return self._lease if now < self._lease.until and self._lease.units else NO_LEASE
 
@@ -33,7 +33,7 @@
         """Return which part of any whole the gateway may count as its own at this moment."""
         return part_of(self.counts(now).units, self.gateways)
 
-    def replace(self, now: int, lease: CountedLease) -> None:
+    def replace(self, now: int, lease: EffectiveLease) -> None:
         """Count by this lease from now on, and by none that was received before."""
         self._lease = lease
         self.record(now)
--- a/tansykeel/control/session_client.py
+++ b/tansykeel/control/session_client.py
@@ -17,8 +17,8 @@
 from tansykeel.cluster.allotments import Allotments
 from tansykeel.control.actions import (
     ConnectToNode,
-    CountedLease,
     DisconnectFromNode,
+    EffectiveLease,
     GatewayAction,
     SendToControl,
     SessionTerms,
@@ -108,7 +108,7 @@
         """The control node that holds the session; empty: none."""
         return self._current.node if self._current else ""
 
-    def counts(self, now: int) -> CountedLease:
+    def counts(self, now: int) -> EffectiveLease:
         """Return what the gateway counts by at this moment."""
         return self._held.counts(now)
 
--- a/tansykeel/edge/control_session.py
+++ b/tansykeel/edge/control_session.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from tansykeel.cluster.allotments import Allotments
-from tansykeel.control.actions import ConnectToNode, CountedLease, DisconnectFromNode, GatewayAction, SendToControl
+from tansykeel.control.actions import ConnectToNode, DisconnectFromNode, EffectiveLease, GatewayAction, SendToControl
 from tansykeel.control.session_client import SessionClient, SessionState
 from tansykeel.edge.clock import Reminder, clock
 from tansykeel.edge.control_connection import ControlConnection
@@ -38,7 +38,7 @@
 )
 
 # Arguments: time by `clock`, name of the gateway, its incarnation, the lease that it uses from then on
-ClaimObserver = Callable[[int, str, int, CountedLease], None]
+ClaimObserver = Callable[[int, str, int, EffectiveLease], None]
 ConnectionObserver = Callable[[socket.socket], None]
 
 
@@ -65,7 +65,7 @@
         self.on_claim, self.on_connection_end = on_claim, on_connection_end
         self.connections: dict[str, ControlConnection] = {}  # by node; those that the client still uses
         self.ending: set[ControlConnection] = set()  # closing, but with frames still to send
-        self.claim: CountedLease | None = None  # the last one that was observed
+        self.claim: EffectiveLease | None = None  # the last one that was observed
         self.closed = False
         # What was logged last: the node that holds the session, the reason of its rejection, the refused renewals
         self._node = ""
--- a/tansykeel/edge/hollow/gateways.py
+++ b/tansykeel/edge/hollow/gateways.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from tansykeel.control.actions import CountedLease
+from tansykeel.control.actions import EffectiveLease
 from tansykeel.edge.clock import clock
 from tansykeel.edge.control_session import ClaimObserver, ControlSession, create_control_session
 from tansykeel.edge.hollow.lease_time import LeaseTime
@@ -39,7 +39,7 @@
         self.starts = 0
         self.session: ControlSession | None = None
         self.lease_time = LeaseTime()
-        self._claim: CountedLease | None = None  # the last one, of any incarnation
+        self._claim: EffectiveLease | None = None  # the last one, of any incarnation
         self._ended_traffic = Traffic()  # of connections that have ended
 
     @property
@@ -96,7 +96,7 @@
             self.session.close()
             self.lease_time.stop(clock())
 
-    def _claim_changed(self, now: int, gateway: str, incarnation: int, claim: CountedLease) -> None:
+    def _claim_changed(self, now: int, gateway: str, incarnation: int, claim: EffectiveLease) -> None:
         self._claim = claim
         self.lease_time.claim(now, claim)
         self.on_claim(now, gateway, incarnation, claim)
--- a/tansykeel/edge/hollow/lease_time.py
+++ b/tansykeel/edge/hollow/lease_time.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tansykeel.control.actions import CountedLease
+from tansykeel.control.actions import EffectiveLease
 
 
 class LeaseTime:
@@ -29,7 +29,7 @@
             self._add_gap(now)
             self._running = False
 
-    def claim(self, now: int, claim: CountedLease) -> None:
+    def claim(self, now: int, claim: EffectiveLease) -> None:
         """Record that the gateway uses this lease instead of the one before; one without a node is no lease."""
         if not claim.node:
             self._covered_until = min(self._covered_until, now)
--- a/tansykeel/emulator/control_processes.py
+++ b/tansykeel/emulator/control_processes.py
@@ -10,8 +10,8 @@
 from tansykeel.control.actions import (
     CloseConnection,
     ConnectToNode,
-    CountedLease,
     DisconnectFromNode,
+    EffectiveLease,
     GatewayAction,
     NodeAction,
     SendToControl,
@@ -53,7 +53,7 @@
     def close(self, connection: Connection, by_gateway: bool) -> None:
         """End a connection after all that was sent on it from this end."""
 
-    def claimed(self, gateway: GatewayProcess, lease: CountedLease) -> None:
+    def claimed(self, gateway: GatewayProcess, lease: EffectiveLease) -> None:
         """Note that a gateway counts something else than before."""
 
 
--- a/tansykeel/emulator/control_simulation.py
+++ b/tansykeel/emulator/control_simulation.py
@@ -17,7 +17,7 @@
 from tansykeel.audit.records import FrameSeen, LeaseClaimed
 from tansykeel.cluster.member import ClusterMessage
 from tansykeel.cluster.messages import CODEC
-from tansykeel.control.actions import CountedLease
+from tansykeel.control.actions import EffectiveLease
 from tansykeel.control.node import ControlNode
 from tansykeel.control.session_client import SessionClient
 from tansykeel.emulator.control_faults import ControlFaults
@@ -168,7 +168,7 @@
             if not node.silent:
                 self.engine.at(self.network.arrival(connection, to_node=False), gateway.lost, connection)
 
-    def claimed(self, gateway: GatewayProcess, lease: CountedLease) -> None:
+    def claimed(self, gateway: GatewayProcess, lease: EffectiveLease) -> None:
         """Note that a gateway counts something else than before."""
         now = self.engine.now
         if not lease.units:
--- a/tests/edge/test_hollow.py
+++ b/tests/edge/test_hollow.py
@@ -15,7 +15,7 @@
 from stage import free_address, play, until
 
 from tansykeel.audit.records import read
-from tansykeel.control.actions import WHOLE_UNITS, CountedLease
+from tansykeel.control.actions import WHOLE_UNITS, EffectiveLease
 from tansykeel.edge.hollow.lease_time import LeaseTime
 from tansykeel.edge.hollow.report import HEADER_BYTES, FullReport
 from tansykeel.protocol.frames import SessionClose, SessionOpen
@@ -246,14 +246,14 @@
 
 def test_time_without_a_lease_is_counted_while_a_gateway_runs():
     lease_time = LeaseTime()
-    lease = CountedLease("n0", 1, 1, 5, 300)
-    none = CountedLease("", 0, 0, 0, 0)
+    lease = EffectiveLease("n0", 1, 1, 5, 300)
+    none = EffectiveLease("", 0, 0, 0, 0)
     lease_time.start(100)
     lease_time.claim(100, none)
     lease_time.claim(150, lease)  # the first lease after 50
     assert lease_time.first_lease == 50 and lease_time.leased(299) and not lease_time.leased(300)
     assert lease_time.without_until(320) == 70
-    lease_time.claim(320, CountedLease("n0", 1, 2, 5, 420))  # a gap of 20 since the lease expired
+    lease_time.claim(320, EffectiveLease("n0", 1, 2, 5, 420))  # a gap of 20 since the lease expired
     lease_time.claim(360, none)  # lost before it expired
     lease_time.stop(400)  # a gap of 40
     assert lease_time.without_until(900) == 110 and lease_time.longest_until(900) == 50
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 from tansykeel.cluster.replicated_log import ZERO_BALLOT, LogMessage, ReplicatedLog
-from tansykeel.control.actions import WHOLE_UNITS, CountedLease
+from tansykeel.control.actions import WHOLE_UNITS, EffectiveLease
 from tansykeel.control.budget_agent import BudgetAgent
 from tansykeel.control.held_lease import HeldLease
 
@@ -58,7 +58,7 @@
 class CountsOn(HeldLease):
     """Counts by its lease for a second more than that lasts."""
 
-    def replace(self, now: int, lease: CountedLease) -> None:
+    def replace(self, now: int, lease: EffectiveLease) -> None:
         longer = replace(lease, until=lease.until + SECOND) if lease.units else lease
         super().replace(now, longer)
 
@@ -66,6 +66,6 @@
 class KeepsTheMost(HeldLease):
     """Never counts less than it did, though it acknowledges the smaller lease."""
 
-    def replace(self, now: int, lease: CountedLease) -> None:
+    def replace(self, now: int, lease: EffectiveLease) -> None:
         units = max(lease.units, self._lease.units)
         super().replace(now, replace(lease, units=units) if lease.units else lease)
