--- a/tansykeel/control/actions.py
+++ b/tansykeel/control/actions.py
@@ -85,6 +85,6 @@
 GatewayAction = ConnectToNode | SendToControl | DisconnectFromNode
 
 
-def part_of(units: int, gateways: int) -> Fraction:
+def gateway_part(units: int, gateways: int) -> Fraction:
     """Return a gateway's part of any whole: its even share of the safe part, and the units that it holds a lease on."""
     return SAFE_FRACTION / gateways + (1 - SAFE_FRACTION) * Fraction(units, WHOLE_UNITS)
--- a/tansykeel/control/held_lease.py
+++ b/tansykeel/control/held_lease.py
@@ -10,7 +10,7 @@
 
 from tansykeel.cluster.allotments import Allotments
 from tansykeel.cluster.membership import SAFE_FRACTION
-from tansykeel.control.actions import EffectiveLease, part_of
+from tansykeel.control.actions import EffectiveLease, gateway_part
 
 NO_LEASE = EffectiveLease("", 0, 0, 0, 0)
 
@@ -31,7 +31,7 @@
 
     def part(self, now: int) -> Fraction:
         """Return which part of any whole the gateway may count as its own at this moment."""
-        return part_of(self.counts(now).units, self.gateways)
+        return gateway_part(self.counts(now).units, self.gateways)
 
     def replace(self, now: int, lease: EffectiveLease) -> None:
         """Count by this lease from now on, and by none that was received before."""
@@ -47,4 +47,4 @@
         counted = self.counts(now)
         if counted != self._recorded:
             self._recorded = counted
-            self.allotments.set_part(now, part_of(counted.units, self.gateways), counted.until)
+            self.allotments.set_part(now, gateway_part(counted.units, self.gateways), counted.until)
--- a/tests/control/test_session_client.py
+++ b/tests/control/test_session_client.py
@@ -12,7 +12,7 @@
     DisconnectFromNode,
     SendToControl,
     SessionTerms,
-    part_of,
+    gateway_part,
 )
 from tansykeel.control.back_off import LONGEST_WAIT, SECOND
 from tansykeel.control.gateway_session import RefusedRenewal
@@ -107,7 +107,7 @@
     assert stage.client.state is SessionState.OPEN
     held = stage.client.counts(stage.now)
     assert (held.node, held.units, held.until) == (node, UNITS, asked + TERMS.lease)
-    assert stage.client.part(held.until - 1) == part_of(UNITS, GATEWAYS) == SAFE_PART + Fraction(4, 5) / GATEWAYS
+    assert stage.client.part(held.until - 1) == gateway_part(UNITS, GATEWAYS) == SAFE_PART + Fraction(4, 5) / GATEWAYS
     assert stage.client.part(held.until) == SAFE_PART
     # The scheduler earns by the lease up to its end without being told.
     earned, now_counts = stage.client.allotments.earned(asked, asked + 2 * TERMS.lease)
@@ -137,7 +137,7 @@
     assert stage.client.state is SessionState.DISCONNECTED
     done = stage.run(SECOND // 5)
     assert done[0][1] == ConnectToNode(stage.client.order[1])
-    assert stage.client.part(stage.now) == part_of(UNITS, GATEWAYS)
+    assert stage.client.part(stage.now) == gateway_part(UNITS, GATEWAYS)
 
 
 def test_back_off_doubles_up_to_its_longest_and_goes_round_all_nodes(stage):
@@ -175,7 +175,7 @@
 def test_a_node_that_ends_is_left_at_once_and_its_lease_counts_on(stage):
     node = stage.open()
     assert [type(action) for action in stage.client.received(stage.now, node, Goodbye())] == [DisconnectFromNode]
-    assert stage.client.part(stage.now) == part_of(UNITS, GATEWAYS)
+    assert stage.client.part(stage.now) == gateway_part(UNITS, GATEWAYS)
 
 
 @pytest.mark.parametrize(
@@ -297,7 +297,7 @@
             asked += action == ConnectToNode(stage.client.order[0])
             stage.client.connection_lost(stage.now, stage.client.order[0])
     assert 4 <= asked <= 10 and stage.client.node == second
-    assert stage.client.part(stage.now) == part_of(UNITS, GATEWAYS)
+    assert stage.client.part(stage.now) == gateway_part(UNITS, GATEWAYS)
 
 
 def test_a_node_that_grants_nothing_is_left_for_one_that_does(stage):
@@ -315,7 +315,7 @@
     beat = heartbeat_in(stage.accept(other))
     actions = stage.client.received(stage.now, other, stage.renewal(beat.asked_at))
     assert actions[0] == SendToControl(node, SessionClose(session=1))
-    assert stage.client.node == other and stage.client.part(stage.now) == part_of(UNITS, GATEWAYS)
+    assert stage.client.node == other and stage.client.part(stage.now) == gateway_part(UNITS, GATEWAYS)
 
 
 def test_a_newer_lease_of_the_same_node_ends_the_older_one_also_without_units(stage):
@@ -326,7 +326,7 @@
     stage.run(SECOND // 5)
     stage.client.connected(stage.now, node)
     beat = heartbeat_in(stage.accept(node))
-    assert stage.client.part(stage.now) == part_of(UNITS, GATEWAYS)
+    assert stage.client.part(stage.now) == gateway_part(UNITS, GATEWAYS)
     stage.client.received(stage.now, node, stage.renewal(beat.asked_at, units=0))
     assert stage.client.part(stage.now) == SAFE_PART
 
--- a/tests/edge/test_control_session.py
+++ b/tests/edge/test_control_session.py
@@ -14,7 +14,7 @@
 from tansykeel.audit.records import LeaseClaimed, read
 from tansykeel.cli.metrics import Collector
 from tansykeel.cli.records import claim_recorder
-from tansykeel.control.actions import part_of
+from tansykeel.control.actions import gateway_part
 from tansykeel.control.session_client import SessionState
 from tansykeel.edge.clock import clock
 from tansykeel.edge.control_session import create_control_session
@@ -85,7 +85,7 @@
             assert setup.first.of(SessionOpen)[0] == SessionOpen("ours", "edge-3", "north")
             assert not setup.second.received and not setup.third.received
             _, even_parts = setup.session.allotments.earned(started_at, clock())
-            assert even_parts == pytest.approx(float(part_of(UNITS, GATEWAYS) * GATEWAYS))
+            assert even_parts == pytest.approx(float(gateway_part(UNITS, GATEWAYS) * GATEWAYS))
             await until(lambda: len(setup.first.of(Heartbeat)) >= 4)
             beats = [beat.asked_at for beat in setup.first.of(Heartbeat)]
             assert min(b - a for a, b in zip(beats, beats[1:], strict=False)) >= HEARTBEAT_MS * 10
@@ -241,7 +241,7 @@
         await until(lambda: UNITS in claims)
         values = {metric.name: metric.samples[0].value for metric in Collector(edge).collect() if metric.samples}
         assert values["tansykeel_control_session_open"] == 1
-        assert values["tansykeel_control_part"] == pytest.approx(float(part_of(UNITS, 2)))
+        assert values["tansykeel_control_part"] == pytest.approx(float(gateway_part(UNITS, 2)))
         edge.stopping.set()
         assert await serving == 0 and claims[-1] == 0
         await until(lambda: sum(len(node.of(SessionClose)) for node in nodes) == 1)
