--- a/tansykeel/control/held_lease.py
+++ b/tansykeel/control/held_lease.py
@@ -25,13 +25,13 @@
         self._lease = NO_LEASE
         self._recorded = NO_LEASE
 
-    def counts(self, now: int) -> EffectiveLease:
+    def effective_lease(self, now: int) -> EffectiveLease:
         """Return the lease that counts at this moment, or `NO_LEASE`."""
         return self._lease if now < self._lease.until and self._lease.units else NO_LEASE
 
     def part(self, now: int) -> Fraction:
         """Return which part of any whole the gateway may count as its own at this moment."""
-        return gateway_part(self.counts(now).units, self.gateways)
+        return gateway_part(self.effective_lease(now).units, self.gateways)
 
     def replace(self, now: int, lease: EffectiveLease) -> None:
         """Count by this lease from now on, and by none that was received before."""
@@ -44,7 +44,7 @@
 
     def record(self, now: int) -> None:
         """Bring `allotments` up to date."""
-        counted = self.counts(now)
+        counted = self.effective_lease(now)
         if counted != self._recorded:
             self._recorded = counted
             self.allotments.set_part(now, gateway_part(counted.units, self.gateways), counted.until)
--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -312,7 +312,7 @@
         now = self.clock(connection.gateway)
         told = gateway.client.received(now, connection.node, answer)
         if isinstance(answer, LeaseRenewal):
-            counts = gateway.client.counts(now)
+            counts = gateway.client.effective_lease(now)
             if (counts.node, counts.session, counts.lease) == (connection.node, answer.session, answer.lease):
                 name = GrantName(connection.node, connection.node_incarnation, answer.session, answer.lease)
                 gateway = replace(gateway, counted=name)
@@ -355,7 +355,7 @@
     def counted_by(self, gateway: str) -> Counted | None:
         """Return what a gateway counts now; None: nothing."""
         held = self.gateways[gateway]
-        lease = held.client.counts(self.clock(gateway))
+        lease = held.client.effective_lease(self.clock(gateway))
         return Counted(gateway, held.counted, lease.units) if lease.units and held.counted else None
 
     def _judge_lease(self, one: Counted) -> None:
--- a/tansykeel/control/session_client.py
+++ b/tansykeel/control/session_client.py
@@ -108,9 +108,9 @@
         """The control node that holds the session; empty: none."""
         return self._current.node if self._current else ""
 
-    def counts(self, now: int) -> EffectiveLease:
+    def effective_lease(self, now: int) -> EffectiveLease:
         """Return what the gateway counts by at this moment."""
-        return self._held.counts(now)
+        return self._held.effective_lease(now)
 
     def part(self, now: int) -> Fraction:
         """Return which part of any whole the gateway may count as its own at this moment."""
@@ -332,7 +332,7 @@
         self._back_off.succeeded()
         # A node takes its earlier leases of this gateway for ended once the new one is acknowledged, whatever its units
         # are. A lease of another node counts on until there are units here, and nothing is acknowledged meanwhile.
-        ends_earlier = session is self._current and self.counts(now).node in ("", session.node)
+        ends_earlier = session is self._current and self.effective_lease(now).node in ("", session.node)
         if lease.units or ends_earlier:
             self._held.replace(now, lease)
             session.acknowledges = lease.lease
--- a/tansykeel/edge/control_session.py
+++ b/tansykeel/edge/control_session.py
@@ -214,7 +214,7 @@
         self._observe_claim(now)
 
     def _observe_claim(self, now: int) -> None:
-        claim, before = self.client.counts(now), self.claim
+        claim, before = self.client.effective_lease(now), self.claim
         if claim == before:
             return
         self.claim = claim
--- a/tansykeel/emulator/control_processes.py
+++ b/tansykeel/emulator/control_processes.py
@@ -184,7 +184,7 @@
 
     def _step(self, step: Callable[[], list[GatewayAction]]) -> None:
         actions = self.carrier.measure(self, step)
-        lease = self.client.counts(self.now())
+        lease = self.client.effective_lease(self.now())
         if lease != self._claimed:
             self._claimed = lease
             self.carrier.claimed(self, lease)
--- a/tests/control/test_session_client.py
+++ b/tests/control/test_session_client.py
@@ -105,7 +105,7 @@
     asked = stage.now
     node = stage.open()
     assert stage.client.state is SessionState.OPEN
-    held = stage.client.counts(stage.now)
+    held = stage.client.effective_lease(stage.now)
     assert (held.node, held.units, held.until) == (node, UNITS, asked + TERMS.lease)
     assert stage.client.part(held.until - 1) == gateway_part(UNITS, GATEWAYS) == SAFE_PART + Fraction(4, 5) / GATEWAYS
     assert stage.client.part(held.until) == SAFE_PART
@@ -121,7 +121,7 @@
         done = stage.run(SECOND)
         assert done == [(stage.now, SendToControl(node, Heartbeat(session=1, asked_at=stage.now, lease=count)))]
         stage.answer(done)
-        assert stage.client.counts(stage.now).until == stage.now + TERMS.lease
+        assert stage.client.effective_lease(stage.now).until == stage.now + TERMS.lease
 
 
 def test_a_part_that_shrinks_counts_before_it_is_acknowledged(stage):
@@ -160,7 +160,9 @@
     assert [type(action) for _, action in done] == [SendToControl, DisconnectFromNode]
     assert done[-1][0] == begun + int(1.5 * SECOND)
     assert stage.client.received(stage.now, node, stage.renewal(begun + SECOND)) == []
-    assert stage.client.counts(stage.now).until == begun + TERMS.lease  # nothing was prolonged by the late answer
+    assert (
+        stage.client.effective_lease(stage.now).until == begun + TERMS.lease
+    )  # nothing was prolonged by the late answer
 
 
 def test_a_gateway_that_stood_still_asks_again_before_it_takes_the_node_for_silent(stage):
@@ -191,11 +193,11 @@
 )
 def test_a_renewal_against_the_rules_is_refused(stage, changed, refusal):
     node = stage.open()
-    held = stage.client.counts(stage.now)
+    held = stage.client.effective_lease(stage.now)
     stage.run(SECOND)
     assert stage.client.received(stage.now, node, stage.renewal(**({"asked_at": stage.now} | changed))) == []
     assert stage.client.refusals == {refusal: 1}
-    assert stage.client.counts(stage.now) == held
+    assert stage.client.effective_lease(stage.now) == held
 
 
 def reject(stage, node, retry_after):
@@ -280,13 +282,13 @@
     beat = heartbeat_in(stage.accept(first))
     empty = stage.renewal(beat.asked_at, units=0)
     assert stage.client.received(stage.now, first, empty) == []  # the new node grants nothing yet
-    assert stage.client.counts(stage.now).node == second
+    assert stage.client.effective_lease(stage.now).node == second
     stage.run(SECOND)  # both sessions have sent a heartbeat by then, this one the later
-    assert stage.client.counts(stage.now).node == second
+    assert stage.client.effective_lease(stage.now).node == second
     actions = stage.client.received(stage.now, first, stage.renewal(stage.now))
     assert actions[0] == SendToControl(second, SessionClose(session=session))
     assert isinstance(actions[1], DisconnectFromNode)
-    assert stage.client.counts(stage.now).node == stage.client.node == first
+    assert stage.client.effective_lease(stage.now).node == stage.client.node == first
 
 
 def test_a_first_choice_that_is_away_costs_nothing_of_the_session(stage):
--- a/tests/edge/test_control_session.py
+++ b/tests/edge/test_control_session.py
@@ -52,7 +52,7 @@
             await node.start()
 
     def leased_by(self, node):
-        return self.session.client.counts(clock()).node == node.name
+        return self.session.client.effective_lease(clock()).node == node.name
 
     def without_lease(self):
         """Return the claims without a lease that followed the first lease."""
