--- a/benchmarks/control_mutants.py
+++ b/benchmarks/control_mutants.py
@@ -119,7 +119,7 @@
 
 
 MUTANTS = (
-    Mutant("outstanding without drift", SessionTable, "lasts", lambda self, valid_for: valid_for),
+    Mutant("outstanding without drift", SessionTable, "outstanding_duration", lambda self, valid_for: valid_for),
     Mutant("acknowledged lease taken for over", SessionTable, "acknowledge", acknowledges_all),
     Mutant("no new term", BudgetAgent, "_follow", keeps_its_term),
     Mutant("grants what it released", BudgetAgent, "budget", lambda self: self.record.units if self.record else 0),
--- a/tansykeel/control/session_table.py
+++ b/tansykeel/control/session_table.py
@@ -117,10 +117,10 @@
         target = share * session.weight // self.weights
         units = max(min(target, budget - others), 0)
         if units:
-            self._add(session, Grant(session.number, session.lease, units, now + self.lasts(valid_for)))
+            self._add(session, Grant(session.number, session.lease, units, now + self.outstanding_duration(valid_for)))
         return units
 
-    def lasts(self, valid_for: int) -> int:
+    def outstanding_duration(self, valid_for: int) -> int:
         """Return how long a lease may count by this node's clock, however far the two clocks are apart."""
         drift = self.terms.drift
         return int(valid_for * (1 + drift) / (1 - drift)) + 1
--- a/tests/control/test_sessions.py
+++ b/tests/control/test_sessions.py
@@ -52,7 +52,7 @@
     table.renew(0, second, BUDGET, BUDGET, 30_000)
     table.end(first)  # its connection was lost
     assert table.outstanding(30_500) == BUDGET
-    assert table.lasts(30_000) == 30_607 and table.outstanding(30_608) == 0
+    assert table.outstanding_duration(30_000) == 30_607 and table.outstanding(30_608) == 0
     table.renew(40_000, second, BUDGET, BUDGET, 30_000)
     table.give_back(second)
     assert table.outstanding(40_000) == 0
@@ -106,7 +106,7 @@
             units = table.renew(now, session, budget, budget, valid_for)
             if chance.random() < 0.8:  # else the renewal is lost with a connection that breaks
                 received[name] = session.lease
-                counts[name] = units, now + table.lasts(valid_for)
+                counts[name] = units, now + table.outstanding_duration(valid_for)
             else:
                 table.end(session)
         assert sum(units for units, _ in counts.values()) <= table.outstanding(now) <= budget
