--- a/benchmarks/control_mutants.py
+++ b/benchmarks/control_mutants.py
@@ -103,7 +103,7 @@
     """Take the acknowledged lease itself for over too."""
     if lease > session.acknowledged:
         session.acknowledged = lease
-        self._drop(session.start, lambda grant: True)
+        self._remove_grants(session.gateway_incarnation, lambda grant: True)
     return True
 
 
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -256,7 +256,7 @@
         if ask.gateway not in self.gateways:
             return f"gateway {ask.gateway!r}: not among the gateways that the settings give region {self.region!r}"
         session = self.table.by_gateway.get(ask.gateway)
-        if session is not None and session.start[1] > incarnation:
+        if session is not None and session.gateway_incarnation[1] > incarnation:
             return f"gateway {ask.gateway!r}: a later start of it holds a session"
         return ""
 
--- a/tansykeel/control/session_table.py
+++ b/tansykeel/control/session_table.py
@@ -16,7 +16,7 @@
 
 MOST_GRANTS = 16  # leases outstanding of one gateway: far more than one that acknowledges what it receives ever has
 SILENT_HEARTBEATS = 5  # without one of a gateway after which its session is closed: its connection may be half open
-GatewayStart = tuple[str, int]  # name and incarnation of a gateway
+GatewayIncarnation = tuple[str, int]  # name and incarnation of a gateway
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
     number: int
     connection: ConnectionId
-    start: GatewayStart
+    gateway_incarnation: GatewayIncarnation
     heard_at: int
     weight: int = 1
     lease: int = 0  # the number of the newest lease granted
@@ -53,7 +53,7 @@
     @property
     def gateway(self) -> str:
         """The gateway's name."""
-        return self.start[0]
+        return self.gateway_incarnation[0]
 
 
 class SessionTable:
@@ -65,14 +65,16 @@
         self.by_gateway: dict[str, Session] = {}
         self.weights = 0  # of all sessions
         self._opened = 0  # sessions so far: the newest one's number
-        self._holders: dict[GatewayStart, Holder] = {}
+        self._holders: dict[GatewayIncarnation, Holder] = {}
         self._units = 0  # sum over all holders
-        self._looks: list[tuple[int, GatewayStart]] = []  # heap: when a lease of whom may be over, one for each holder
+        self._looks: list[
+            tuple[int, GatewayIncarnation]
+        ] = []  # heap: when a lease of whom may be over, one for each holder
 
     def __len__(self) -> int:
         return len(self.by_connection)
 
-    def open(self, now: int, connection: ConnectionId, start: GatewayStart) -> Session:
+    def open(self, now: int, connection: ConnectionId, start: GatewayIncarnation) -> Session:
         """Begin a session on a connection that has none, for a gateway that has none."""
         self._opened += 1
         session = Session(self._opened, connection, start, now)
@@ -89,7 +91,7 @@
 
     def give_back(self, session: Session) -> None:
         """The gateway said that it counts by no lease of the session any more."""
-        self._drop(session.start, lambda grant: grant.session == session.number)
+        self._remove_grants(session.gateway_incarnation, lambda grant: grant.session == session.number)
 
     def acknowledge(self, session: Session, lease: int) -> bool:
         """The gateway received this lease of the session, so it counts by no earlier one of it.
@@ -100,7 +102,9 @@
             return False
         if lease > session.acknowledged:
             session.acknowledged = lease
-            self._drop(session.start, lambda grant: grant.session == session.number and grant.lease < lease)
+            self._remove_grants(
+                session.gateway_incarnation, lambda grant: grant.session == session.number and grant.lease < lease
+            )
         return True
 
     def renew(self, now: int, session: Session, budget: int, share: int, valid_for: int) -> int:
@@ -109,7 +113,7 @@
         if valid_for <= 0:
             return 0
         outstanding = self.outstanding(now)
-        holder = self._holders.get(session.start, Holder())
+        holder = self._holders.get(session.gateway_incarnation, Holder())
         if len(holder.grants) >= MOST_GRANTS:
             # Guards against memory that grows with the heartbeats of a gateway that acknowledges nothing.
             return 0
@@ -131,7 +135,7 @@
             _, start = heappop(self._looks)
             holder = self._holders[start]
             holder.looked_at = False
-            self._drop(start, lambda grant: grant.until <= now)
+            self._remove_grants(start, lambda grant: grant.until <= now)
             self._plan_look(start)
         return self._units
 
@@ -162,25 +166,25 @@
     # Within
 
     def _add(self, session: Session, grant: Grant) -> None:
-        holder = self._holders.setdefault(session.start, Holder())
+        holder = self._holders.setdefault(session.gateway_incarnation, Holder())
         holder.grants.append(grant)
-        self._recount(session.start)
-        self._plan_look(session.start)
+        self._recount(session.gateway_incarnation)
+        self._plan_look(session.gateway_incarnation)
 
-    def _drop(self, start: GatewayStart, is_over: Callable[[Grant], bool]) -> None:
+    def _remove_grants(self, start: GatewayIncarnation, is_over: Callable[[Grant], bool]) -> None:
         holder = self._holders.get(start)
         if holder is None:
             return
         holder.grants = [grant for grant in holder.grants if not is_over(grant)]
         self._recount(start)
 
-    def _recount(self, start: GatewayStart) -> None:
+    def _recount(self, start: GatewayIncarnation) -> None:
         holder = self._holders[start]
         self._units -= holder.units
         holder.units = max((grant.units for grant in holder.grants), default=0)
         self._units += holder.units
 
-    def _plan_look(self, start: GatewayStart) -> None:
+    def _plan_look(self, start: GatewayIncarnation) -> None:
         """Plan when to look for leases of this holder that are over; one without any is forgotten."""
         holder = self._holders[start]
         if holder.looked_at:
