--- a/benchmarks/control_mutants.py
+++ b/benchmarks/control_mutants.py
@@ -87,7 +87,7 @@
             setattr(self.owner, self.method, real)
 
 
-_follow, _release, _renewed = BudgetAgent._follow, BudgetAgent._release, GatewaySession.renewed
+_follow, _release, _apply_renewal = BudgetAgent._follow, BudgetAgent._release, GatewaySession.apply_renewal
 
 
 def keeps_its_term(self: BudgetAgent, now: int, view: Any) -> bool:
@@ -109,7 +109,7 @@
 
 def counts_from_receipt(self: GatewaySession, now: int, renewal: Any) -> Any:
     """Count a lease from when it came in, not from when it was asked for."""
-    return replace(_renewed(self, now, renewal), until=now + renewal.valid_for // MICROSECONDS_PER_TICK)
+    return replace(_apply_renewal(self, now, renewal), until=now + renewal.valid_for // MICROSECONDS_PER_TICK)
 
 
 def reclaims_early(self: BudgetAgent, now: int) -> bool:
@@ -143,7 +143,7 @@
         lambda self, now: self.terms.lease if self.lease_end > now else 0,
     ),
     Mutant("a grant between nodes binds nobody", LeaseTerms, "granter_duration", lambda self: 1),
-    Mutant("gateway counts from receipt", GatewaySession, "renewed", counts_from_receipt),
+    Mutant("gateway counts from receipt", GatewaySession, "apply_renewal", counts_from_receipt),
 )
 
 
--- a/tansykeel/control/gateway_session.py
+++ b/tansykeel/control/gateway_session.py
@@ -113,7 +113,7 @@
             return RefusedRenewal.BEYOND_TERMS
         return RefusedRenewal.BEYOND_WHOLE if renewal.units > WHOLE_UNITS else None
 
-    def renewed(self, now: int, renewal: LeaseRenewal) -> EffectiveLease:
+    def apply_renewal(self, now: int, renewal: LeaseRenewal) -> EffectiveLease:
         """Take a renewal that was not refused, and return the lease to be counted by."""
         while self._unanswered and self._unanswered[0] <= renewal.asked_at:
             self._unanswered.popleft()
--- a/tansykeel/control/session_client.py
+++ b/tansykeel/control/session_client.py
@@ -328,7 +328,7 @@
         if refusal is not None:
             self.refusals[refusal] += 1
             return []
-        lease = session.renewed(now, renewal)
+        lease = session.apply_renewal(now, renewal)
         self._back_off.succeeded()
         # A node takes its earlier leases of this gateway for ended once the new one is acknowledged, whatever its units
         # are. A lease of another node counts on until there are units here, and nothing is acknowledged meanwhile.
