--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -142,7 +142,7 @@
 
     def act(self, now: int, sent: list[OutgoingMessage]) -> list[Any]:
         """Go on after something that the member did."""
-        return self._settle(now, sent)
+        return self._update_budget(now, sent)
 
     def answers_for(self, now: int) -> int:
         """Return what is outstanding, and change nothing: states of the search share a node that did not move."""
@@ -153,7 +153,7 @@
         """Return all that decides what it will do."""
         if self.known_key is None:
             parts = frozen(self.budget, ("member", "state", "view")), frozen(self.table), frozen(self.state.records)
-            self.known_key = self.member.key(), self._leased_at, self._next_sweep, self.leaving, *parts
+            self.known_key = self.member.key(), self._last_leased_at, self._next_sweep, self.leaving, *parts
         return self.known_key
 
 
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -86,7 +86,7 @@
         self.leaving = False
         self.rejected = 0  # for another reason than the rate of admission
         self._told_commit = 0  # of the log, while this node leads it
-        self._leased_at = now  # when it last held a lease
+        self._last_leased_at = now  # when it last held a lease
         self._next_step = now
         self._next_sweep = now + session_terms.heartbeat
 
@@ -99,7 +99,7 @@
     def tick(self, now: int, wall_ms: int) -> list[NodeAction]:
         """Do what time asks for. `wall_ms`: the wall clock, for the number of a view that is formed."""
         sent = self.member.tick(now, wall_ms) if now >= self.member.due() else []
-        actions = self._settle(now, sent)
+        actions = self._update_budget(now, sent)
         self._next_step = now + STEP
         if now >= self._next_sweep:
             self._next_sweep = now + self.session_terms.heartbeat
@@ -110,13 +110,13 @@
         """Begin a planned end: gateways are asked to go elsewhere, and what they give back is released."""
         self.leaving = self.budget.leaving = True
         actions: list[NodeAction] = [SendToGateway(connection, Goodbye()) for connection in self.table.by_connection]
-        return actions + self._settle(now, self.member.leave(now))
+        return actions + self._update_budget(now, self.member.leave(now))
 
     # What comes in
 
     def node_message(self, now: int, sender: Member, message: ClusterMessage) -> list[NodeAction]:
         """Take a message of another control node of the region, late or repeated as it may be."""
-        return self._settle(now, self.member.heard(now, sender, message))
+        return self._update_budget(now, self.member.heard(now, sender, message))
 
     def gateway_message(self, now: int, connection: ConnectionId, incarnation: int, record: Fields) -> list[NodeAction]:
         """Take a record from a gateway; `incarnation` is the one that its connection's hello names."""
@@ -129,7 +129,7 @@
                 actions = self._close(connection, record)
             case _:
                 actions = self._broken(connection, f"{type(record).__name__} is no record of a session")
-        return actions + self._settle(now, [])
+        return actions + self._update_budget(now, [])
 
     def connection_lost(self, now: int, connection: ConnectionId) -> list[NodeAction]:
         """A gateway's connection ended. What its session was granted counts until it is over."""
@@ -137,7 +137,7 @@
         if session is None:
             return []
         self.table.end(session)
-        return self._settle(now, [])
+        return self._update_budget(now, [])
 
     # What it says
 
@@ -170,7 +170,7 @@
 
     # Within: the region's nodes
 
-    def _settle(self, now: int, sent: list[OutgoingMessage]) -> list[NodeAction]:
+    def _update_budget(self, now: int, sent: list[OutgoingMessage]) -> list[NodeAction]:
         """Follow what an event changed, and propose what the budget needs then."""
         self.budget.observe(now)
         if self.budget.begins_to_register(now):
@@ -178,7 +178,7 @@
         proposed = self.budget.proposals(now, len(self.table), self.outstanding(now))
         self.budget.observe(now)
         if self.budget.lease_left(now):
-            self._leased_at = now
+            self._last_leased_at = now
         told = self._tell_commits(now)
         return [SendToNode(node, message) for node, message in [*sent, *proposed, *told]]
 
@@ -210,7 +210,7 @@
 
     def _sweep(self, now: int) -> list[NodeAction]:
         """Close sessions of gateways that are silent, and all where this node may grant nothing for long."""
-        if now - self._leased_at > self.session_terms.heartbeat:
+        if now - self._last_leased_at > self.session_terms.heartbeat:
             return self._end_all("this control node holds no lease on its view")
         return [
             action for session in self.table.silent(now) for action in self._end(session, "no heartbeat for too long")
