--- a/tansykeel/control/back_off.py
+++ b/tansykeel/control/back_off.py
@@ -16,8 +16,8 @@
 class BackOff:
     """Counts failures in a row and draws waits."""
 
-    def __init__(self, chance: Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: Random) -> None:
+        self._rng = rng
         self._failures = 0
 
     def failed(self) -> int:
@@ -32,7 +32,7 @@
 
     def up_to(self, longest: int) -> int:
         """Return a time drawn evenly up to `longest`."""
-        return int(self._chance.random() * longest)
+        return int(self._rng.random() * longest)
 
     def around(self, mean: int) -> int:
         """Return a time between half and one and a half of the mean, so that gateways do not act in step."""
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -259,12 +259,12 @@
             region_units=REGION_UNITS,
             name=member.name,
             incarnation=member.incarnation,
-            nodes=places,
+            placements=places,
             gateways=frozenset(self.gateways),
-            pace=DetectorConfig(),
+            detector_config=DetectorConfig(),
             terms=self.leases,
             session_terms=self.sessions,
-            chance=MIDDLE,
+            rng=MIDDLE,
             now=now,
         )
 
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -64,12 +64,12 @@
         region_units: int,
         name: str,
         incarnation: int,
-        nodes: Mapping[str, Placement],
+        placements: Mapping[str, Placement],
         gateways: Container[str],
-        pace: DetectorConfig,
+        detector_config: DetectorConfig,
         terms: LeaseTerms,
         session_terms: SessionTerms,
-        chance: Random,
+        rng: Random,
         now: int,
     ) -> None:
         self.cluster = cluster
@@ -78,8 +78,8 @@
         self.gateways = gateways
         self.session_terms = session_terms
         self.state = self.state_class()
-        all_vote = replace(terms, voters=len(nodes))
-        self.member = self.member_class(name, nodes, incarnation, pace, all_vote, chance, now, self.state)
+        all_vote = replace(terms, voters=len(placements))
+        self.member = self.member_class(name, placements, incarnation, detector_config, all_vote, rng, now, self.state)
         self.budget = self.budget_class(self.member, self.state, region_units, all_vote, now)
         self.table = SessionTable(session_terms)
         self.admission = Admission(session_terms.admissions_per_second, now)
--- a/tansykeel/control/session_client.py
+++ b/tansykeel/control/session_client.py
@@ -64,7 +64,7 @@
         gateways: int,
         nodes: Sequence[str],
         terms: SessionTerms,
-        chance: Random,
+        rng: Random,
         now: int,
     ) -> None:
         """`gateways`: how many there are over all regions; `nodes`: the control nodes of the gateway's region."""
@@ -76,7 +76,7 @@
         self.rejected_reason = ""  # of the last rejection for good, until a session is accepted
         self.refusals: Counter[RefusedRenewal] = Counter()
         self._held = HeldLease(gateways, now)
-        self._back_off = BackOff(chance)
+        self._back_off = BackOff(rng)
         self._current: GatewaySession | None = None  # the session that this gateway stays with
         self._attempt: GatewaySession | None = None  # the one that is not open yet, or has not granted units yet
         self._turn = 0  # of the node in `order` that is asked next
--- a/tansykeel/emulator/control_simulation.py
+++ b/tansykeel/emulator/control_simulation.py
@@ -218,12 +218,12 @@
             region_units=self.trial.region_units()[node.region],
             name=node.name,
             incarnation=node.incarnation,
-            nodes=self.trial.nodes_of(node.region),
+            placements=self.trial.nodes_of(node.region),
             gateways=frozenset(place.name for place in places if place.region == node.region),
-            pace=self.trial.pace,
+            detector_config=self.trial.pace,
             terms=self.trial.lease_terms,
             session_terms=self.trial.terms,
-            chance=self.trial.chance(f"{node.name} {node.incarnation}"),
+            rng=self.trial.chance(f"{node.name} {node.incarnation}"),
             now=node.now(),
         )
 
--- a/tansykeel/settings/control.py
+++ b/tansykeel/settings/control.py
@@ -104,12 +104,12 @@
         region_units=region_units(settings, record.region),
         name=record.name,
         incarnation=incarnation,
-        nodes=places_of(settings, record.region),
+        placements=places_of(settings, record.region),
         gateways=frozenset(gateways_of(settings, record.region)),
-        pace=pace_of(settings),
+        detector_config=pace_of(settings),
         terms=lease_terms_of(settings),
         session_terms=session_terms_of(settings),
-        chance=chance,
+        rng=chance,
         now=now,
     )
 
@@ -125,6 +125,6 @@
         gateways=sum(record.gateways for record in settings.regions),
         nodes=tuple(node.name for node in settings.nodes_of(region)),
         terms=session_terms_of(settings),
-        chance=chance,
+        rng=chance,
         now=now,
     )
--- a/tests/control/test_node.py
+++ b/tests/control/test_node.py
@@ -38,12 +38,12 @@
             region_units=UNITS,
             name="a",
             incarnation=7,
-            nodes={"a": Placement()},
+            placements={"a": Placement()},
             gateways=frozenset(f"g{number}" for number in range(20)),
-            pace=DetectorConfig(period=3_000, ack_timeout=1_500, stable_after=6_000),
+            detector_config=DetectorConfig(period=3_000, ack_timeout=1_500, stable_after=6_000),
             terms=LeaseTerms(30_000, 0.01),
             session_terms=TERMS,
-            chance=Random(1),
+            rng=Random(1),
             now=0,
         )
         self.actions = []
