--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -186,7 +186,7 @@
         if kind == "arrives":
             if event[1:] not in self.sent:
                 return False
-            actions = node.node_message(now, cast(Member, what[0]), cast(ViewMessage, what[1]))
+            actions = node.handle_node_message(now, cast(Member, what[0]), cast(ViewMessage, what[1]))
         elif kind == "renews":
             actions = node.act(now, node.member.renew(now)) + node.tick(now, 0)
         elif kind == "leaves":
@@ -300,7 +300,7 @@
             self._put(replace(connection, to_node=rest))
             node = self.nodes[connection.node].copy()
             now = self.clock(node.name)
-            actions = node.gateway_message(now, connection.number, connection.gateway_incarnation, record)
+            actions = node.handle_gateway_record(now, connection.number, connection.gateway_incarnation, record)
             self._keep(node)
             self._do_node(node, actions)
             return True
@@ -310,7 +310,7 @@
         self._put(replace(connection, to_gateway=left))
         gateway = self.gateways[connection.gateway].copied()
         now = self.clock(connection.gateway)
-        told = gateway.client.received(now, connection.node, answer)
+        told = gateway.client.handle_record(now, connection.node, answer)
         if isinstance(answer, LeaseRenewal):
             counts = gateway.client.effective_lease(now)
             if (counts.node, counts.session, counts.lease) == (connection.node, answer.session, answer.lease):
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -114,11 +114,13 @@
 
     # What comes in
 
-    def node_message(self, now: int, sender: Member, message: ClusterMessage) -> list[NodeAction]:
+    def handle_node_message(self, now: int, sender: Member, message: ClusterMessage) -> list[NodeAction]:
         """Take a message of another control node of the region, late or repeated as it may be."""
         return self._update_budget(now, self.member.heard(now, sender, message))
 
-    def gateway_message(self, now: int, connection: ConnectionId, incarnation: int, record: Fields) -> list[NodeAction]:
+    def handle_gateway_record(
+        self, now: int, connection: ConnectionId, incarnation: int, record: Fields
+    ) -> list[NodeAction]:
         """Take a record from a gateway; `incarnation` is the one that its connection's hello names."""
         match record:
             case SessionOpen():
--- a/tansykeel/control/session_client.py
+++ b/tansykeel/control/session_client.py
@@ -162,7 +162,7 @@
         self._held.record(now)
         return []
 
-    def received(self, now: int, node: str, record: Fields) -> list[GatewayAction]:
+    def handle_record(self, now: int, node: str, record: Fields) -> list[GatewayAction]:
         """Act on what a control node sent; what comes from a node without a session here is ignored."""
         session = self._session_at(node)
         if session is None:
--- a/tansykeel/control_plane/node_agent.py
+++ b/tansykeel/control_plane/node_agent.py
@@ -50,13 +50,13 @@
         """Take in a message of another control node."""
         if not self._ended:
             now = clock()
-            self._carry_out(now, self.node.node_message(now, sender, message))
+            self._carry_out(now, self.node.handle_node_message(now, sender, message))
 
     def gateway_message(self, connection: ConnectionId, incarnation: int, record: Fields) -> None:
         """Take in a record of a gateway."""
         if not self._ended:
             now = clock()
-            self._carry_out(now, self.node.gateway_message(now, connection, incarnation, record))
+            self._carry_out(now, self.node.handle_gateway_record(now, connection, incarnation, record))
 
     def connection_lost(self, connection: ConnectionId) -> None:
         """Take in that a gateway's connection ended."""
--- a/tansykeel/edge/control_session.py
+++ b/tansykeel/edge/control_session.py
@@ -173,7 +173,7 @@
             case SessionAccepted() | SessionRejected() | LeaseRenewal() | Goodbye():
                 if isinstance(record, SessionRejected) and record.retry_after:
                     self._log_rejection(connection.node, record)
-                self._execute(now, self.client.received(now, connection.node, record))
+                self._execute(now, self.client.handle_record(now, connection.node, record))
             case Error(text):
                 self.log.error("control node reported an error", node=connection.node, what=text)
             case _:
--- a/tansykeel/emulator/control_processes.py
+++ b/tansykeel/emulator/control_processes.py
@@ -165,7 +165,7 @@
     def arrived(self, connection: Connection, record: Fields) -> None:
         """A frame of a control node came in."""
         if self._has(connection) and not self.waits(self.arrived, connection, record):
-            self._step(lambda: self.client.received(self.now(), connection.node, record))
+            self._step(lambda: self.client.handle_record(self.now(), connection.node, record))
 
     def lost(self, connection: Connection) -> None:
         """A connection ended, or never came up."""
@@ -248,13 +248,13 @@
     def heard(self, sender: Member, message: ClusterMessage) -> None:
         """Take a message of another control node."""
         if self.up and not self.waits(self.heard, sender, message):
-            self._step(lambda: self.node.node_message(self.now(), sender, message))
+            self._step(lambda: self.node.handle_node_message(self.now(), sender, message))
 
     def arrived(self, connection: Connection, record: Fields) -> None:
         """Take a frame of a gateway."""
         if self._has(connection) and not self.waits(self.arrived, connection, record):
             incarnation = connection.gateway_incarnation
-            self._step(lambda: self.node.gateway_message(self.now(), connection.number, incarnation, record))
+            self._step(lambda: self.node.handle_gateway_record(self.now(), connection.number, incarnation, record))
 
     def lost(self, connection: Connection) -> None:
         """A connection ended at its other end."""
--- a/tests/control/test_node.py
+++ b/tests/control/test_node.py
@@ -58,7 +58,7 @@
         self.now = end
 
     def tell(self, connection, record, incarnation=1):
-        return self.node.gateway_message(self.now, connection, incarnation, record)
+        return self.node.handle_gateway_record(self.now, connection, incarnation, record)
 
     def open(self, connection, gateway="g0", incarnation=1):
         """Return the session's number."""
--- a/tests/control/test_session_client.py
+++ b/tests/control/test_session_client.py
@@ -66,7 +66,7 @@
         answer = SessionAccepted(
             cluster=cluster, node=name or node, session=self.sessions, heartbeat_every=TERMS.heartbeat * 100
         )
-        return self.client.received(self.now, node, answer)
+        return self.client.handle_record(self.now, node, answer)
 
     def renewal(self, asked_at, units=UNITS, valid_for=TERMS.lease, **changed):
         """Return the next lease."""
@@ -83,13 +83,13 @@
         node = done[0][1].node
         self.client.connected(self.now, node)
         beat = heartbeat_in(self.accept(node))
-        assert self.client.received(self.now, node, self.renewal(beat.asked_at, units)) == []
+        assert self.client.handle_record(self.now, node, self.renewal(beat.asked_at, units)) == []
         return node
 
     def answer(self, done, units=UNITS):
         """Answer the last heartbeat that was sent."""
         at, action = [each for each in done if isinstance(getattr(each[1], "record", None), Heartbeat)][-1]
-        return self.client.received(self.now, action.node, self.renewal(at, units))
+        return self.client.handle_record(self.now, action.node, self.renewal(at, units))
 
 
 def heartbeat_in(actions):
@@ -159,7 +159,7 @@
     done = stage.run(int(1.5 * SECOND))
     assert [type(action) for _, action in done] == [SendToControl, DisconnectFromNode]
     assert done[-1][0] == begun + int(1.5 * SECOND)
-    assert stage.client.received(stage.now, node, stage.renewal(begun + SECOND)) == []
+    assert stage.client.handle_record(stage.now, node, stage.renewal(begun + SECOND)) == []
     assert (
         stage.client.effective_lease(stage.now).until == begun + TERMS.lease
     )  # nothing was prolonged by the late answer
@@ -176,7 +176,7 @@
 
 def test_a_node_that_ends_is_left_at_once_and_its_lease_counts_on(stage):
     node = stage.open()
-    assert [type(action) for action in stage.client.received(stage.now, node, Goodbye())] == [DisconnectFromNode]
+    assert [type(action) for action in stage.client.handle_record(stage.now, node, Goodbye())] == [DisconnectFromNode]
     assert stage.client.part(stage.now) == gateway_part(UNITS, GATEWAYS)
 
 
@@ -195,7 +195,7 @@
     node = stage.open()
     held = stage.client.effective_lease(stage.now)
     stage.run(SECOND)
-    assert stage.client.received(stage.now, node, stage.renewal(**({"asked_at": stage.now} | changed))) == []
+    assert stage.client.handle_record(stage.now, node, stage.renewal(**({"asked_at": stage.now} | changed))) == []
     assert stage.client.refusals == {refusal: 1}
     assert stage.client.effective_lease(stage.now) == held
 
@@ -203,7 +203,7 @@
 def reject(stage, node, retry_after):
     """Have the node reject the session; `retry_after` in tenths of a millisecond."""
     answer = SessionRejected(cluster="cluster", node=node, reason="busy", retry_after=retry_after * 100)
-    assert [type(action) for action in stage.client.received(stage.now, node, answer)] == [DisconnectFromNode]
+    assert [type(action) for action in stage.client.handle_record(stage.now, node, answer)] == [DisconnectFromNode]
     return stage.now
 
 
@@ -231,7 +231,7 @@
 def test_a_rejection_for_good_keeps_its_reason_and_is_tried_again_much_later(stage):
     node = stage.connect()
     answer = SessionRejected(cluster="cluster", node=node, reason="no gateway 'edge-0'", retry_after=0)
-    stage.client.received(stage.now, node, answer)
+    stage.client.handle_record(stage.now, node, answer)
     assert stage.client.state is SessionState.REJECTED
     assert stage.client.rejected_reason == f"{node}: no gateway 'edge-0'"
     assert 15 * SECOND <= stage.client.due() - stage.now <= 45 * SECOND
@@ -254,7 +254,7 @@
     second = stage.client.order[1]
     stage.client.connected(stage.now, second)
     beat = heartbeat_in(stage.accept(second))
-    stage.client.received(stage.now, second, stage.renewal(beat.asked_at))
+    stage.client.handle_record(stage.now, second, stage.renewal(beat.asked_at))
     return second
 
 
@@ -265,7 +265,7 @@
         for _, action in stage.run(min(SECOND // 20, end - stage.now)):
             if isinstance(action, SendToControl) and action.node == node and isinstance(action.record, Heartbeat):
                 renewal = stage.renewal(action.record.asked_at, session=session)
-                stage.client.received(stage.now, node, renewal)
+                stage.client.handle_record(stage.now, node, renewal)
             else:
                 others.append((stage.now, action))
     return others
@@ -281,11 +281,11 @@
     stage.client.connected(stage.now, first)
     beat = heartbeat_in(stage.accept(first))
     empty = stage.renewal(beat.asked_at, units=0)
-    assert stage.client.received(stage.now, first, empty) == []  # the new node grants nothing yet
+    assert stage.client.handle_record(stage.now, first, empty) == []  # the new node grants nothing yet
     assert stage.client.effective_lease(stage.now).node == second
     stage.run(SECOND)  # both sessions have sent a heartbeat by then, this one the later
     assert stage.client.effective_lease(stage.now).node == second
-    actions = stage.client.received(stage.now, first, stage.renewal(stage.now))
+    actions = stage.client.handle_record(stage.now, first, stage.renewal(stage.now))
     assert actions[0] == SendToControl(second, SessionClose(session=session))
     assert isinstance(actions[1], DisconnectFromNode)
     assert stage.client.effective_lease(stage.now).node == stage.client.node == first
@@ -315,7 +315,7 @@
     assert other != node and stage.now - START >= TERMS.lease
     stage.client.connected(stage.now, other)
     beat = heartbeat_in(stage.accept(other))
-    actions = stage.client.received(stage.now, other, stage.renewal(beat.asked_at))
+    actions = stage.client.handle_record(stage.now, other, stage.renewal(beat.asked_at))
     assert actions[0] == SendToControl(node, SessionClose(session=1))
     assert stage.client.node == other and stage.client.part(stage.now) == gateway_part(UNITS, GATEWAYS)
 
@@ -329,7 +329,7 @@
     stage.client.connected(stage.now, node)
     beat = heartbeat_in(stage.accept(node))
     assert stage.client.part(stage.now) == gateway_part(UNITS, GATEWAYS)
-    stage.client.received(stage.now, node, stage.renewal(beat.asked_at, units=0))
+    stage.client.handle_record(stage.now, node, stage.renewal(beat.asked_at, units=0))
     assert stage.client.part(stage.now) == SAFE_PART
 
 
