--- a/tansykeel/control/actions.py
+++ b/tansykeel/control/actions.py
@@ -1,4 +1,4 @@
-"""What the cores of the control plane ask the program around them to do, and the units in which parts are counted."""
+"""Actions that control nodes and session clients return for their program to perform, and the units of leases."""
 
 from __future__ import annotations
 
@@ -9,23 +9,26 @@
 from tansykeel.cluster.membership import SAFE_FRACTION
 from tansykeel.protocol.frames import Fields
 
-WHOLE_UNITS = 1_000_000_000  # the whole beside the safe part, over all regions
-ConnectionId = int  # given by the program to each connection of a gateway to a control node; never used twice
+WHOLE_UNITS = 1_000_000_000  # of all regions together: all of a whole except the safe part
+ConnectionId = int  # assigned by the program to each connection from a gateway to a control node; never reused
 
 
 @dataclass(frozen=True, slots=True)
 class SessionTerms:
-    """What control nodes and gateways agree on beforehand, by their settings. Times are tenths of a millisecond."""
+    """Terms that control nodes and gateways share through the settings. Times are in tenths of a millisecond."""
 
-    lease: int  # the longest that a gateway counts a lease
-    heartbeat: int
-    drift: float  # by how much any clock may run fast or slow
-    admissions_per_second: float  # new sessions that one control node accepts
+    lease: int  # the longest time for which a gateway's lease is valid
+    heartbeat: int  # time between two heartbeats of a session
+    drift: float  # largest error of the rate of any clock, as a fraction
+    admissions_per_second: float  # rate at which one control node accepts new sessions
 
 
 @dataclass(frozen=True, slots=True)
 class EffectiveLease:
-    """What a gateway counts by: the control node that granted it, and until when; no node: the safe part alone."""
+    """The lease that is in effect at a gateway, and until when.
+
+    Without a lease the node is empty, and the gateway is entitled to its safe part alone.
+    """
 
     node: str
     session: int
@@ -36,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToNode:
-    """A control node tells another one of its region."""
+    """A control node sends a message to another one of its region."""
 
     node: str
     message: ClusterMessage
@@ -44,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToGateway:
-    """A control node tells the gateway at the other end of a connection."""
+    """A control node sends a record to the gateway at the other end of a connection."""
 
     connection: ConnectionId
     record: Fields
@@ -52,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
-    """A control node has no use for a gateway's connection any more, once what was sent on it has left."""
+    """A control node closes a gateway's connection after everything sent on it has been written out."""
 
     connection: ConnectionId
     reason: str
@@ -60,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectToNode:
-    """A gateway wants a connection to this control node; the program answers with `connected` or `connection_lost`."""
+    """A gateway opens a connection to this control node; the program then calls `connected` or `connection_lost`."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class SendToControl:
-    """A gateway tells the control node that it is connected to under this name."""
+    """A gateway sends a record over its connection to the control node of this name."""
 
     node: str
     record: Fields
@@ -75,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DisconnectFromNode:
-    """A gateway has no use for its connection to this control node any more, once what was sent has left."""
+    """A gateway closes its connection to this control node after everything sent on it has been written out."""
 
     node: str
     reason: str
@@ -86,5 +89,5 @@
 
 
 def gateway_part(units: int, gateways: int) -> Fraction:
-    """Return a gateway's part of any whole: its even share of the safe part, and the units that it holds a lease on."""
+    """Return a gateway's part of any whole: its even share of the safe part plus the units of its lease."""
     return SAFE_FRACTION / gateways + (1 - SAFE_FRACTION) * Fraction(units, WHOLE_UNITS)
