--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -18,7 +18,7 @@
 from tansykeel.cluster.membership import Member
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import CloseConnection, ConnectionId, NodeAction, SendToGateway, SendToNode, SessionTerms
-from tansykeel.control.admission import Admission
+from tansykeel.control.admission import AdmissionLimiter
 from tansykeel.control.budget_agent import BudgetAgent
 from tansykeel.control.budget_state import BudgetState
 from tansykeel.control.session_table import Session, SessionTable
@@ -82,7 +82,7 @@
         self.member = self.member_class(name, placements, incarnation, detector_config, all_vote, rng, now, self.state)
         self.budget = self.budget_class(self.member, self.state, region_units, all_vote, now)
         self.table = SessionTable(session_terms)
-        self.admission = Admission(session_terms.admissions_per_second, now)
+        self.admission = AdmissionLimiter(session_terms.admissions_per_second, now)
         self.leaving = False
         self.rejected = 0  # for another reason than the rate of admission
         self._told_commit = 0  # of the log, while this node leads it
--- a/tests/control/test_sessions.py
+++ b/tests/control/test_sessions.py
@@ -5,7 +5,7 @@
 import random
 
 from tansykeel.control.actions import SessionTerms
-from tansykeel.control.admission import MOST_RETRY_AFTER, SECOND, Admission
+from tansykeel.control.admission import MAX_RETRY_AFTER, SECOND, AdmissionLimiter
 from tansykeel.control.session_table import MOST_GRANTS, SessionTable
 
 TERMS = SessionTerms(lease=30_000, heartbeat=10_000, drift=0.01, admissions_per_second=100.0)
@@ -13,7 +13,7 @@
 
 
 def test_a_herd_is_admitted_at_the_rate_and_each_is_told_its_own_turn():
-    admission = Admission(100.0, 0)
+    admission = AdmissionLimiter(100.0, 0)
     answers = [admission.admit(0) for _ in range(150)]
     assert answers[:50] == [0] * 50
     turns = answers[50:]
@@ -24,9 +24,9 @@
 
 
 def test_a_turn_is_never_further_off_than_the_longest_back_off():
-    admission = Admission(1.0, 0)
-    assert max(admission.admit(0) for _ in range(100)) == MOST_RETRY_AFTER
-    assert admission.admit(MOST_RETRY_AFTER + SECOND) == 0
+    admission = AdmissionLimiter(1.0, 0)
+    assert max(admission.admit(0) for _ in range(100)) == MAX_RETRY_AFTER
+    assert admission.admit(MAX_RETRY_AFTER + SECOND) == 0
 
 
 def table_of(*gateways):
