--- a/tansykeel/control/session_client.py
+++ b/tansykeel/control/session_client.py
@@ -23,7 +23,7 @@
     SendToControl,
     SessionTerms,
 )
-from tansykeel.control.back_off import FIRST_WAIT, LONGEST_WAIT, SECOND, BackOff
+from tansykeel.control.back_off import BASE_DELAY, MAX_DELAY, SECOND, BackOff
 from tansykeel.control.gateway_session import MICROSECONDS_PER_TICK, GatewaySession, Phase, RefusedRenewal
 from tansykeel.control.held_lease import HeldLease
 from tansykeel.control.placement import placement_order
@@ -143,7 +143,7 @@
             actions += self._begin_attempt(now)
         elif self._current is not None and now >= self._attempt.move_fails_at():
             actions += self._abandon_move(now, self._attempt)
-        self._held.record(now)
+        self._held.update_allotments(now)
         return actions
 
     def connected(self, now: int, node: str) -> list[GatewayAction]:
@@ -159,7 +159,7 @@
         session = self._session_at(node)
         if session is not None:
             self._lose(now, session)
-        self._held.record(now)
+        self._held.update_allotments(now)
         return []
 
     def handle_record(self, now: int, node: str, record: Fields) -> list[GatewayAction]:
@@ -177,7 +177,7 @@
                 actions = self._renewed(now, session, record)
             case Goodbye():
                 actions = self._give_up(now, session, "the control node ends")
-        self._held.record(now)
+        self._held.update_allotments(now)
         return actions
 
     def close(self, now: int) -> list[GatewayAction]:
@@ -231,7 +231,7 @@
         """Ask the node after this one, after the back-off."""
         self._turn = self.order.index(node) + 1
         self._waited_for = ""
-        self._attempt_at = now + self._back_off.failed()
+        self._attempt_at = now + self._back_off.record_failure()
 
     # Asking for a session
 
@@ -280,14 +280,14 @@
             return self._reject_for_good(now, session, fault)
         if answer.retry_after == 0:
             return self._reject_for_good(now, session, f"{session.node}: {answer.reason}")
-        wait = min(answer.retry_after // MICROSECONDS_PER_TICK + 1, LONGEST_RETRY_AFTER) + self._back_off.up_to(
-            FIRST_WAIT
+        wait = min(answer.retry_after // MICROSECONDS_PER_TICK + 1, LONGEST_RETRY_AFTER) + self._back_off.draw_up_to(
+            BASE_DELAY
         )
         self._attempt = None
         self._not_before[session.node] = now + wait
         if self._current is not None:
             self._return_at = max(self._return_at, now + wait)
-            self._search_at = now + self._back_off.around(LONGEST_WAIT)
+            self._search_at = now + self._back_off.draw_around(MAX_DELAY)
         elif wait <= WORTH_WAITING and self._waited_for != session.node:
             self._waited_for = session.node
             self._turn = self.order.index(session.node)
@@ -316,7 +316,7 @@
         """Keep the reason, for the settings of one of the two are wrong, and ask the next node much later."""
         self.rejected_reason = reason
         self._attempt = None
-        self._wait_until(now + self._back_off.around(RETURN_EVERY))
+        self._wait_until(now + self._back_off.draw_around(RETURN_EVERY))
         if self._current is None:
             self._turn = self.order.index(session.node) + 1
         return [DisconnectFromNode(session.node, reason)]
@@ -329,7 +329,7 @@
             self.refusals[refusal] += 1
             return []
         lease = session.apply_renewal(now, renewal)
-        self._back_off.succeeded()
+        self._back_off.reset()
         # A node takes its earlier leases of this gateway for ended once the new one is acknowledged, whatever its units
         # are. A lease of another node counts on until there are units here, and nothing is acknowledged meanwhile.
         ends_earlier = session is self._current and self.effective_lease(now).node in ("", session.node)
@@ -357,7 +357,7 @@
 
     def _stay(self, now: int) -> None:
         """Begin to stay with the present session."""
-        self._return_at = now + self._back_off.around(RETURN_EVERY)
+        self._return_at = now + self._back_off.draw_around(RETURN_EVERY)
         self._search_at = now
 
     def _move(self, now: int, session: GatewaySession) -> list[GatewayAction]:
@@ -369,8 +369,8 @@
         return _end(old, "the gateway moved to another control node") if old else []
 
     def _move_later(self, now: int) -> None:
-        self._return_at = now + self._back_off.around(RETURN_EVERY)
-        self._search_at = now + self._back_off.around(LONGEST_WAIT)
+        self._return_at = now + self._back_off.draw_around(RETURN_EVERY)
+        self._search_at = now + self._back_off.draw_around(MAX_DELAY)
 
     def _abandon_move(self, now: int, session: GatewaySession) -> list[GatewayAction]:
         """End the second session, which granted nothing for too long."""
--- a/tests/control/test_session_client.py
+++ b/tests/control/test_session_client.py
@@ -14,7 +14,7 @@
     SessionTerms,
     gateway_part,
 )
-from tansykeel.control.back_off import LONGEST_WAIT, SECOND
+from tansykeel.control.back_off import MAX_DELAY, SECOND
 from tansykeel.control.gateway_session import RefusedRenewal
 from tansykeel.control.session_client import SessionClient, SessionState
 from tansykeel.protocol.frames import (
@@ -150,7 +150,7 @@
         waits.append(stage.client.due() - stage.now)
     assert asked == list(stage.client.order) * 20
     assert all(wait <= SECOND // 5 << count for count, wait in enumerate(waits[:5]))
-    assert max(waits) <= LONGEST_WAIT and max(waits[10:]) > 0.8 * LONGEST_WAIT > 10 * min(waits[10:])
+    assert max(waits) <= MAX_DELAY and max(waits[10:]) > 0.8 * MAX_DELAY > 10 * min(waits[10:])
 
 
 def test_a_silent_session_is_given_up_after_one_and_a_half_heartbeats(stage):
