--- a/tansykeel/control/gateway_session.py
+++ b/tansykeel/control/gateway_session.py
@@ -1,7 +1,7 @@
-"""One session of a gateway to one control node, from the wish for a connection on. Without I/O.
+"""One session between a gateway and a control node, from the request for a connection on. Does no I/O.
 
-It knows what it asked and what was answered; `SessionClient` decides which sessions there are. Times are whole tenths
-of a millisecond of the gateway's own monotonic clock.
+It keeps track of heartbeats sent and answers received; `SessionClient` decides which sessions there are. Times are in
+whole tenths of a millisecond of the gateway's own monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from tansykeel.protocol.frames import Heartbeat, LeaseRenewal, SessionAccepted
 
 MICROSECONDS_PER_TICK = 100
-SILENT_HEARTBEATS = 1.5  # without an answer, after which a session counts as lost
-SHORTEST_HEARTBEAT = 500  # 50 ms, the least that settings allow: a node can't ask for more heartbeats than that
-HEARTBEATS_PER_LEASE = 3  # at least, whatever a node asks for, so that one lost answer loses no lease
-# Leases that a node has to grant a gateway its first units, which others have to give up and acknowledge before: they
-# take up to five heartbeats.
-LEASES_TO_MOVE = 3
-MOST_UNANSWERED = 8  # heartbeats that are remembered; a session is lost long before
+ANSWER_TIMEOUT_HEARTBEATS = 1.5  # heartbeat intervals without an answer after which a session is considered lost
+MIN_HEARTBEAT_INTERVAL = 500  # 50 ms, the minimum in the settings: a node can't ask for more frequent heartbeats
+MIN_HEARTBEATS_PER_LEASE = 3  # whatever a node asks for, so that no lease expires because of one lost answer
+# Time, in leases, for a node to grant a gateway its first units. Other gateways have to receive and acknowledge smaller
+# leases first, which takes up to five heartbeats.
+MOVE_TIMEOUT_LEASES = 3
+MAX_UNANSWERED = 8  # heartbeats that are remembered; a session is lost long before that many are unanswered
 
 
 class Phase(Enum):
-    """How far a session has come."""
+    """Progress of opening a session."""
 
     CONNECTING = "connecting"
     OPENING = "opening"
@@ -31,7 +31,7 @@
 
 
 class RefusedRenewal(Enum):
-    """Why a renewal is not counted by."""
+    """Reason for which a renewal is ignored."""
 
     OTHER_SESSION = "it names another session"
     OLD_LEASE = "its lease is not newer than the newest of the session"
@@ -41,68 +41,68 @@
 
 
 class GatewaySession:
-    """A session in its phases; `lease` and `units` are those of the newest renewal."""
+    """State of one session; `lease` and `units` are the number and the units of the newest renewal."""
 
     def __init__(self, node: str, terms: SessionTerms, now: int) -> None:
-        """Begin with the wish for a connection to `node`."""
+        """Start in phase CONNECTING: a connection to `node` was requested."""
         self.node = node
         self.terms = terms
         self.phase = Phase.CONNECTING
         self.number = 0
         self.lease = 0
-        self.acknowledges = 0  # the newest lease of the session that took the place of what the gateway counted by
+        self.lease_to_acknowledge = 0  # the newest lease of the session that the gateway put into effect
         self.units = 0
         self.without_units_since = now
-        self.heartbeat = terms.heartbeat
-        self.next_heartbeat = now
+        self.heartbeat_interval = terms.heartbeat
+        self.next_heartbeat_at = now
         self._answered_at = now
-        self._unanswered: deque[int] = deque(maxlen=MOST_UNANSWERED)
+        self._unanswered: deque[int] = deque(maxlen=MAX_UNANSWERED)  # times of unanswered heartbeats, oldest first
 
     def connected(self, now: int) -> None:
-        """Note that the connection is up and the session asked for."""
+        """The connection is up, and `SessionOpen` is being sent."""
         self.phase = Phase.OPENING
         self._answered_at = now
 
     def accepted(self, now: int, answer: SessionAccepted) -> None:
-        """Note that the node holds the session from now on."""
+        """The node accepted the session; take over its heartbeat interval within the allowed range."""
         self.phase = Phase.OPEN
         self.number = answer.session
         self._answered_at = now
         self.without_units_since = now
-        longest = max(self.terms.lease // HEARTBEATS_PER_LEASE, SHORTEST_HEARTBEAT)
-        asked_for = answer.heartbeat_every // MICROSECONDS_PER_TICK
-        self.heartbeat = min(max(asked_for, SHORTEST_HEARTBEAT), longest)
-        self.next_heartbeat = now
+        max_interval = max(self.terms.lease // MIN_HEARTBEATS_PER_LEASE, MIN_HEARTBEAT_INTERVAL)
+        requested = answer.heartbeat_every // MICROSECONDS_PER_TICK
+        self.heartbeat_interval = min(max(requested, MIN_HEARTBEAT_INTERVAL), max_interval)
+        self.next_heartbeat_at = now
 
     def due(self) -> int:
-        """Return when this session wants to be looked at next."""
-        lost_at = self.lost_at()
-        return min(self.next_heartbeat, lost_at) if self.phase is Phase.OPEN else lost_at
+        """Return when this session next needs a tick."""
+        deadline = self.answer_deadline()
+        return min(self.next_heartbeat_at, deadline) if self.phase is Phase.OPEN else deadline
 
-    def lost_at(self) -> int:
-        """Return when the session counts as lost, unless the node answers before."""
-        return self._answered_at + int(SILENT_HEARTBEATS * self.heartbeat)
+    def answer_deadline(self) -> int:
+        """Return when the session is considered lost unless the node answers before."""
+        return self._answered_at + int(ANSWER_TIMEOUT_HEARTBEATS * self.heartbeat_interval)
 
-    def starves_at(self) -> int | None:
-        """Return when the node has granted nothing for a whole lease; None while the newest lease has units."""
+    def units_deadline(self) -> int | None:
+        """Return when the session will have been without units for a whole lease; None while it has units."""
         return None if self.units else self.without_units_since + self.terms.lease
 
-    def move_fails_at(self) -> int:
-        """Return when the node has granted nothing for so long that the gateway stays where it is."""
-        return self.without_units_since + LEASES_TO_MOVE * self.terms.lease
+    def move_deadline(self) -> int:
+        """Return when a move to this node is abandoned because it has granted no units."""
+        return self.without_units_since + MOVE_TIMEOUT_LEASES * self.terms.lease
 
-    def forgive_pause(self, now: int) -> None:
-        """Wait half a heartbeat more: the gateway itself stood still, and answers may wait to be read."""
-        self._answered_at = max(self._answered_at, now - self.heartbeat)
+    def extend_after_stall(self, now: int) -> None:
+        """Wait at least half a heartbeat interval more: the gateway stalled, and answers may be waiting to be read."""
+        self._answered_at = max(self._answered_at, now - self.heartbeat_interval)
 
-    def next_beat(self, now: int) -> Heartbeat:
-        """Return the heartbeat to be sent now."""
+    def make_heartbeat(self, now: int) -> Heartbeat:
+        """Return the heartbeat to be sent now, and schedule the next one."""
         self._unanswered.append(now)
-        self.next_heartbeat = now + self.heartbeat
-        return Heartbeat(session=self.number, asked_at=now, lease=self.acknowledges)
+        self.next_heartbeat_at = now + self.heartbeat_interval
+        return Heartbeat(session=self.number, asked_at=now, lease=self.lease_to_acknowledge)
 
-    def refusal_of(self, renewal: LeaseRenewal) -> RefusedRenewal | None:
-        """Return why a renewal must not be counted by; None: it may."""
+    def check_renewal(self, renewal: LeaseRenewal) -> RefusedRenewal | None:
+        """Return the reason to ignore a renewal, or None if it is valid."""
         if self.phase is not Phase.OPEN or renewal.session != self.number:
             return RefusedRenewal.OTHER_SESSION
         if renewal.lease <= self.lease:
@@ -114,7 +114,7 @@
         return RefusedRenewal.BEYOND_WHOLE if renewal.units > WHOLE_UNITS else None
 
     def apply_renewal(self, now: int, renewal: LeaseRenewal) -> EffectiveLease:
-        """Take a renewal that was not refused, and return the lease to be counted by."""
+        """Apply a renewal that passed `check_renewal`, and return its lease."""
         while self._unanswered and self._unanswered[0] <= renewal.asked_at:
             self._unanswered.popleft()
         self._answered_at = now
--- a/tansykeel/control/session_client.py
+++ b/tansykeel/control/session_client.py
@@ -124,7 +124,7 @@
         if self._attempt is None:
             waits.append(self._attempt_at if self._current is None else self._move_at(self._current))
         elif self._current is not None:
-            waits.append(self._attempt.move_fails_at())
+            waits.append(self._attempt.move_deadline())
         return min(waits)
 
     # What happens
@@ -135,13 +135,13 @@
             return []
         if now - self.due() > self.terms.heartbeat // 2:
             for session in self._sessions():
-                session.forgive_pause(now)
+                session.extend_after_stall(now)
         actions: list[GatewayAction] = []
         for session in self._sessions():
             actions += self._tick_session(now, session)
         if self._attempt is None:
             actions += self._begin_attempt(now)
-        elif self._current is not None and now >= self._attempt.move_fails_at():
+        elif self._current is not None and now >= self._attempt.move_deadline():
             actions += self._abandon_move(now, self._attempt)
         self._held.update_allotments(now)
         return actions
@@ -200,10 +200,10 @@
         return next((session for session in self._sessions() if session.node == node), None)
 
     def _tick_session(self, now: int, session: GatewaySession) -> list[GatewayAction]:
-        if now >= session.lost_at():
+        if now >= session.answer_deadline():
             return self._give_up(now, session, "the control node is silent")
-        if session.phase is Phase.OPEN and now >= session.next_heartbeat:
-            return [SendToControl(session.node, session.next_beat(now))]
+        if session.phase is Phase.OPEN and now >= session.next_heartbeat_at:
+            return [SendToControl(session.node, session.make_heartbeat(now))]
         return []
 
     def _give_up(self, now: int, session: GatewaySession, reason: str) -> list[GatewayAction]:
@@ -271,7 +271,7 @@
             self._current = session
             self._attempt = None
             self._stay(now)
-        return [SendToControl(session.node, session.next_beat(now))]
+        return [SendToControl(session.node, session.make_heartbeat(now))]
 
     def _rejected(self, now: int, session: GatewaySession, answer: SessionRejected) -> list[GatewayAction]:
         if session is not self._attempt or session.phase is not Phase.OPENING:
@@ -324,7 +324,7 @@
     # Leases
 
     def _renewed(self, now: int, session: GatewaySession, renewal: LeaseRenewal) -> list[GatewayAction]:
-        refusal = session.refusal_of(renewal)
+        refusal = session.check_renewal(renewal)
         if refusal is not None:
             self.refusals[refusal] += 1
             return []
@@ -335,7 +335,7 @@
         ends_earlier = session is self._current and self.effective_lease(now).node in ("", session.node)
         if lease.units or ends_earlier:
             self._held.replace(now, lease)
-            session.acknowledges = lease.lease
+            session.lease_to_acknowledge = lease.lease
         if session is self._attempt and lease.units:
             return self._move(now, session)
         return []
@@ -343,7 +343,7 @@
     # Moving from one node to another
 
     def _starves(self, now: int, session: GatewaySession) -> bool:
-        starves_at = session.starves_at()
+        starves_at = session.units_deadline()
         return starves_at is not None and now >= starves_at
 
     def _move_at(self, current: GatewaySession) -> int:
@@ -351,7 +351,7 @@
         if len(self.order) == 1:
             return NEVER_DUE
         return_at = NEVER_DUE if current.node == self.order[0] else self._return_at
-        starves_at = current.starves_at()
+        starves_at = current.units_deadline()
         search_at = NEVER_DUE if starves_at is None else max(starves_at, self._search_at)
         return min(return_at, search_at)
 
