--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -176,7 +176,7 @@
         """Follow what an event changed, and propose what the budget needs then."""
         self.budget.observe(now)
         if self.budget.begins_to_register(now):
-            self.table.forget_grants()
+            self.table.clear_grants()
         proposed = self.budget.proposals(now, len(self.table), self.outstanding(now))
         self.budget.observe(now)
         if self.budget.lease_left(now):
@@ -215,7 +215,9 @@
         if now - self._last_leased_at > self.session_terms.heartbeat:
             return self._end_all("this control node holds no lease on its view")
         return [
-            action for session in self.table.silent(now) for action in self._end(session, "no heartbeat for too long")
+            action
+            for session in self.table.silent_sessions(now)
+            for action in self._end(session, "no heartbeat for too long")
         ]
 
     def _end_all(self, reason: str) -> list[NodeAction]:
@@ -283,7 +285,7 @@
             )
         if not self.table.acknowledge(session, heartbeat.lease):
             return self._broken(connection, f"lease {heartbeat.lease} acknowledged, which was never granted")
-        session.heard_at = now
+        session.last_heartbeat_at = now
         valid_for = min(self.session_terms.lease, self.budget.lease_left(now))
         units = self.table.renew(now, session, self.budget.budget(), self.budget.share(), valid_for)
         lasts = valid_for * MICROSECONDS_IN_TENTH if units else 0
@@ -294,5 +296,5 @@
         session = self.table.by_connection.get(connection)
         if session is None or session.number != close.session:
             return self._broken(connection, f"a close of session {close.session}, which this connection has not")
-        self.table.give_back(session)
+        self.table.release_grants(session)
         return self._end(session, "the gateway closed its session")
--- a/tansykeel/control/session_table.py
+++ b/tansykeel/control/session_table.py
@@ -1,8 +1,9 @@
-"""The sessions that a control node holds, and the leases that it granted to their gateways. Without I/O.
+"""The sessions that a control node holds, and the leases that it granted to their gateways. Does no I/O.
 
-A gateway counts by one lease at a time, whichever of its sessions that is of. So what one start of a gateway may count
-is the largest of its leases that are outstanding: not acknowledged as replaced, not given back, not over. The sum of
-these over all gateways is what the node answers for, and a renewal never raises it over the node's budget.
+A gateway uses one lease at a time, of whichever of its sessions. So the most units that one incarnation of a gateway
+may use are those of its largest outstanding lease. A lease is outstanding until the gateway acknowledges a newer one of
+the same session or closes the session, or until it expires. The sum over all gateways is the number of units that the
+node has outstanding, and a renewal never raises it above the node's budget.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 from tansykeel.control.actions import ConnectionId, SessionTerms
 
-MOST_GRANTS = 16  # leases outstanding of one gateway: far more than one that acknowledges what it receives ever has
-SILENT_HEARTBEATS = 5  # without one of a gateway after which its session is closed: its connection may be half open
+MAX_GRANTS = 16  # outstanding leases of one gateway; one that acknowledges what it receives never has nearly as many
+MAX_MISSED_HEARTBEATS = 5  # after that many the session is closed: its connection may be half open
 GatewayIncarnation = tuple[str, int]  # name and incarnation of a gateway
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A lease that a gateway may count, until this moment of the control node's clock at most."""
+    """A lease granted to a gateway; `until` is when it expires at the latest, by the control node's clock."""
 
     session: int
     lease: int
@@ -31,24 +32,24 @@
 
 @dataclass(slots=True)
 class Holder:
-    """One start of a gateway with its leases that are outstanding, and the most units that it may count by them."""
+    """Outstanding leases of one incarnation of a gateway; `units` are those of the largest."""
 
     grants: list[Grant] = field(default_factory=list)
     units: int = 0
-    looked_at: bool = False  # whether its next look for leases that are over is planned
+    expiry_scheduled: bool = False  # whether it has an entry in the expiry heap
 
 
 @dataclass(slots=True)
 class Session:
-    """One session of a gateway, which ends with its connection."""
+    """One session of a gateway; it ends with its connection."""
 
     number: int
     connection: ConnectionId
     gateway_incarnation: GatewayIncarnation
-    heard_at: int
+    last_heartbeat_at: int  # or when the session was opened
     weight: int = 1
     lease: int = 0  # the number of the newest lease granted
-    acknowledged: int = 0
+    acknowledged: int = 0  # the newest lease that the gateway acknowledged
 
     @property
     def gateway(self) -> str:
@@ -57,46 +58,45 @@
 
 
 class SessionTable:
-    """Sessions by connection and by gateway, and all that they were granted."""
+    """Sessions by connection and by gateway, and the outstanding leases of each gateway."""
 
     def __init__(self, terms: SessionTerms) -> None:
         self.terms = terms
         self.by_connection: dict[ConnectionId, Session] = {}
         self.by_gateway: dict[str, Session] = {}
-        self.weights = 0  # of all sessions
-        self._opened = 0  # sessions so far: the newest one's number
+        self.total_weight = 0  # of all sessions
+        self._opened = 0  # sessions opened so far, and the number of the newest one
         self._holders: dict[GatewayIncarnation, Holder] = {}
-        self._units = 0  # sum over all holders
-        self._looks: list[
-            tuple[int, GatewayIncarnation]
-        ] = []  # heap: when a lease of whom may be over, one for each holder
+        self._units = 0  # sum over all holders, expired leases included until the next call of `outstanding`
+        # Heap of when a holder's next lease expires; one entry for each holder.
+        self._expiries: list[tuple[int, GatewayIncarnation]] = []
 
     def __len__(self) -> int:
         return len(self.by_connection)
 
-    def open(self, now: int, connection: ConnectionId, start: GatewayIncarnation) -> Session:
-        """Begin a session on a connection that has none, for a gateway that has none."""
+    def open(self, now: int, connection: ConnectionId, gateway_incarnation: GatewayIncarnation) -> Session:
+        """Open a session. Neither the connection nor the gateway may have one."""
         self._opened += 1
-        session = Session(self._opened, connection, start, now)
+        session = Session(self._opened, connection, gateway_incarnation, now)
         self.by_connection[connection] = session
         self.by_gateway[session.gateway] = session
-        self.weights += session.weight
+        self.total_weight += session.weight
         return session
 
     def end(self, session: Session) -> None:
-        """End a session; what it was granted is outstanding until it is over."""
+        """End a session; its leases stay outstanding until they expire."""
         del self.by_connection[session.connection]
         del self.by_gateway[session.gateway]
-        self.weights -= session.weight
+        self.total_weight -= session.weight
 
-    def give_back(self, session: Session) -> None:
-        """The gateway said that it counts by no lease of the session any more."""
+    def release_grants(self, session: Session) -> None:
+        """Release all leases of the session: the gateway said that it no longer uses any."""
         self._remove_grants(session.gateway_incarnation, lambda grant: grant.session == session.number)
 
     def acknowledge(self, session: Session, lease: int) -> bool:
-        """The gateway received this lease of the session, so it counts by no earlier one of it.
+        """Release the leases of the session before this one, which the gateway put into effect.
 
-        Return False where it was never granted.
+        Return False if the lease was never granted.
         """
         if lease > session.lease:
             return False
@@ -108,89 +108,94 @@
         return True
 
     def renew(self, now: int, session: Session, budget: int, share: int, valid_for: int) -> int:
-        """Grant the session a new lease and return its units: its part of `share` by weight, within the budget."""
+        """Grant the session a new lease and return its units.
+
+        The units are the session's part of `share` by weight, as far as the budget allows.
+        """
         session.lease += 1
         if valid_for <= 0:
             return 0
         outstanding = self.outstanding(now)
         holder = self._holders.get(session.gateway_incarnation, Holder())
-        if len(holder.grants) >= MOST_GRANTS:
-            # Guards against memory that grows with the heartbeats of a gateway that acknowledges nothing.
+        if len(holder.grants) >= MAX_GRANTS:
+            # Bounds the memory for a gateway that sends heartbeats but acknowledges nothing.
             return 0
         others = outstanding - holder.units
-        target = share * session.weight // self.weights
+        target = share * session.weight // self.total_weight
         units = max(min(target, budget - others), 0)
         if units:
-            self._add(session, Grant(session.number, session.lease, units, now + self.outstanding_duration(valid_for)))
+            self._add_grant(
+                session, Grant(session.number, session.lease, units, now + self.outstanding_duration(valid_for))
+            )
         return units
 
     def outstanding_duration(self, valid_for: int) -> int:
-        """Return how long a lease may count by this node's clock, however far the two clocks are apart."""
+        """Return how long a lease may be in effect by this node's clock, whatever the drift of the two clocks."""
         drift = self.terms.drift
         return int(valid_for * (1 + drift) / (1 - drift)) + 1
 
     def outstanding(self, now: int) -> int:
-        """Return the sum of what the gateways may count now by leases of this node."""
-        while self._looks and self._looks[0][0] <= now:
-            _, start = heappop(self._looks)
-            holder = self._holders[start]
-            holder.looked_at = False
-            self._remove_grants(start, lambda grant: grant.until <= now)
-            self._plan_look(start)
+        """Return how many units the gateways may use now by leases of this node."""
+        while self._expiries and self._expiries[0][0] <= now:
+            _, key = heappop(self._expiries)
+            holder = self._holders[key]
+            holder.expiry_scheduled = False
+            self._remove_grants(key, lambda grant: grant.until <= now)
+            self._schedule_expiry(key)
         return self._units
 
     def next_expiry(self) -> int | None:
-        """Return when a lease may be over next; None where none is outstanding."""
-        return self._looks[0][0] if self._looks else None
+        """Return when the next lease may expire; None if none is outstanding."""
+        return self._expiries[0][0] if self._expiries else None
 
-    def forget_grants(self) -> None:
-        """No lease of before is outstanding: the node begins to grant in a new term."""
+    def clear_grants(self) -> None:
+        """Remove all grants: none is outstanding any more when the node starts to grant in a new term."""
         self._holders.clear()
-        self._looks.clear()
+        self._expiries.clear()
         self._units = 0
 
-    def silent(self, now: int) -> list[Session]:
-        """Return the sessions without a heartbeat for too long."""
-        latest = now - SILENT_HEARTBEATS * self.terms.heartbeat
-        return [session for session in self.by_connection.values() if session.heard_at < latest]
+    def silent_sessions(self, now: int) -> list[Session]:
+        """Return the sessions that missed too many heartbeats."""
+        oldest = now - MAX_MISSED_HEARTBEATS * self.terms.heartbeat
+        return [session for session in self.by_connection.values() if session.last_heartbeat_at < oldest]
 
     def copy(self) -> SessionTable:
-        """Return a table that goes its own way from here on."""
-        made = copy(self)
-        made.by_connection = {connection: replace(session) for connection, session in self.by_connection.items()}
-        made.by_gateway = {session.gateway: session for session in made.by_connection.values()}
-        made._holders = {start: replace(holder, grants=list(holder.grants)) for start, holder in self._holders.items()}
-        made._looks = list(self._looks)
-        return made
+        """Return an independent copy."""
+        duplicate = copy(self)
+        duplicate.by_connection = {connection: replace(session) for connection, session in self.by_connection.items()}
+        duplicate.by_gateway = {session.gateway: session for session in duplicate.by_connection.values()}
+        duplicate._holders = {key: replace(holder, grants=list(holder.grants)) for key, holder in self._holders.items()}
+        duplicate._expiries = list(self._expiries)
+        return duplicate
 
-    # Within
+    # Grants and their expiry
 
-    def _add(self, session: Session, grant: Grant) -> None:
+    def _add_grant(self, session: Session, grant: Grant) -> None:
         holder = self._holders.setdefault(session.gateway_incarnation, Holder())
         holder.grants.append(grant)
-        self._recount(session.gateway_incarnation)
-        self._plan_look(session.gateway_incarnation)
+        self._update_units(session.gateway_incarnation)
+        self._schedule_expiry(session.gateway_incarnation)
 
-    def _remove_grants(self, start: GatewayIncarnation, is_over: Callable[[Grant], bool]) -> None:
-        holder = self._holders.get(start)
+    def _remove_grants(self, key: GatewayIncarnation, is_released: Callable[[Grant], bool]) -> None:
+        holder = self._holders.get(key)
         if holder is None:
             return
-        holder.grants = [grant for grant in holder.grants if not is_over(grant)]
-        self._recount(start)
+        holder.grants = [grant for grant in holder.grants if not is_released(grant)]
+        self._update_units(key)
 
-    def _recount(self, start: GatewayIncarnation) -> None:
-        holder = self._holders[start]
+    def _update_units(self, key: GatewayIncarnation) -> None:
+        holder = self._holders[key]
         self._units -= holder.units
         holder.units = max((grant.units for grant in holder.grants), default=0)
         self._units += holder.units
 
-    def _plan_look(self, start: GatewayIncarnation) -> None:
-        """Plan when to look for leases of this holder that are over; one without any is forgotten."""
-        holder = self._holders[start]
-        if holder.looked_at:
+    def _schedule_expiry(self, key: GatewayIncarnation) -> None:
+        """Schedule the removal of expired leases of this holder; a holder without leases is removed."""
+        holder = self._holders[key]
+        if holder.expiry_scheduled:
             return
         if not holder.grants:
-            del self._holders[start]
+            del self._holders[key]
             return
-        holder.looked_at = True
-        heappush(self._looks, (min(grant.until for grant in holder.grants), start))
+        holder.expiry_scheduled = True
+        heappush(self._expiries, (min(grant.until for grant in holder.grants), key))
--- a/tests/control/test_node.py
+++ b/tests/control/test_node.py
@@ -11,7 +11,7 @@
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.control.actions import CloseConnection, SendToGateway, SessionTerms
 from tansykeel.control.node import NO_LEASE_RETRY_AFTER, ControlNode
-from tansykeel.control.session_table import SILENT_HEARTBEATS
+from tansykeel.control.session_table import MAX_MISSED_HEARTBEATS
 from tansykeel.protocol.frames import (
     Goodbye,
     Heartbeat,
@@ -165,7 +165,7 @@
 def test_a_silent_gateway_s_connection_is_closed(region):
     region.open(1)
     region.actions.clear()
-    region.pass_time((SILENT_HEARTBEATS + 2) * TERMS.heartbeat)
+    region.pass_time((MAX_MISSED_HEARTBEATS + 2) * TERMS.heartbeat)
     assert [action.connection for action in region.actions if isinstance(action, CloseConnection)] == [1]
     assert region.node.status(region.now).sessions == 0
 
