--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -1,8 +1,9 @@
-"""A control node: holds sessions of its region's gateways and grants them leases within its budget. Without I/O.
+"""A control node: holds sessions of its region's gateways and grants them leases within its budget. Does no I/O.
 
-Events with a time in, actions out (`actions.py`). The nodes of a region agree on views of themselves and keep a
-replicated log of their budgets (`cluster/member.py`, `budget_state.py`); what a node grants lives in its memory alone.
-`docs/control.md` has the design and the argument. Times are tenths of a millisecond of the node's own clock.
+It takes events with their time and returns actions (`actions.py`). The nodes of a region agree on views of their own
+membership and keep their budgets in a replicated log (`cluster/member.py`, `budget_state.py`); the leases that a node
+grants are kept in its memory only. `docs/control.md` describes the design and why it is safe. Times are in tenths of a
+millisecond of the node's own clock.
 """
 
 from __future__ import annotations
@@ -36,23 +37,24 @@
 )
 
 SECOND = 10_000
-MICROSECONDS_IN_TENTH = 100
-STEP = SECOND // 10  # how often it looks what its budget needs, beside what every event makes it do
-SEEMS: dict[MemberState, Literal["alive", "suspect", "dead"]] = {
+MICROSECONDS_PER_TICK = 100
+BUDGET_CHECK_INTERVAL = SECOND // 10  # between checks of the budget without an event; every event checks it too
+PEER_STATUS: dict[MemberState, Literal["alive", "suspect", "dead"]] = {
     MemberState.ALIVE: "alive",
     MemberState.SUSPECT: "suspect",
     MemberState.DEAD: "dead",
 }
-NO_LEASE_RETRY_AFTER = SECOND  # of a gateway that asks a node which may grant nothing now
+NO_LEASE_RETRY_AFTER = SECOND  # for a gateway that opens a session at a node that may not grant leases now
 
 
 class ControlNode:
     """One control node of a region.
 
-    `gateways` are the names of the region's gateways; `incarnation` is another with each start and later than all
-    before: the wall clock's milliseconds.
+    `gateways` are the names of the region's gateways. `incarnation` has to be higher than that of any earlier start:
+    the wall clock's milliseconds.
     """
 
+    # The model checker replaces these by subclasses.
     member_class: ClassVar[type[ClusterMember]] = ClusterMember
     state_class: ClassVar[type[BudgetState]] = BudgetState
     budget_class: ClassVar[type[BudgetAgent]] = BudgetAgent
@@ -78,77 +80,79 @@
         self.gateways = gateways
         self.session_terms = session_terms
         self.state = self.state_class()
-        all_vote = replace(terms, voters=len(placements))
-        self.member = self.member_class(name, placements, incarnation, detector_config, all_vote, rng, now, self.state)
-        self.budget = self.budget_class(self.member, self.state, region_units, all_vote, now)
+        agreement_terms = replace(terms, voters=len(placements))  # every node of the region is a voter
+        self.member = self.member_class(
+            name, placements, incarnation, detector_config, agreement_terms, rng, now, self.state
+        )
+        self.budget = self.budget_class(self.member, self.state, region_units, agreement_terms, now)
         self.table = SessionTable(session_terms)
         self.admission = AdmissionLimiter(session_terms.admissions_per_second, now)
         self.leaving = False
-        self.rejected = 0  # for another reason than the rate of admission
-        self._told_commit = 0  # of the log, while this node leads it
-        self._last_leased_at = now  # when it last held a lease
-        self._next_step = now
+        self.rejected = 0  # rejections for reasons other than the admission rate, which the limiter counts
+        self._announced_commit = 0  # the commit index that this node last broadcast as leader
+        self._last_leased_at = now  # when this node was last seen to hold a lease on its view
+        self._next_budget_check = now
         self._next_sweep = now + session_terms.heartbeat
 
-    # Steps that it takes by itself
+    # Timers and shutdown
 
     def due(self) -> int:
         """Return when `tick` must be called next."""
-        return min(self.member.due(), self._next_step, self._next_sweep)
+        return min(self.member.due(), self._next_budget_check, self._next_sweep)
 
     def tick(self, now: int, wall_ms: int) -> list[NodeAction]:
-        """Do what time asks for. `wall_ms`: the wall clock, for the number of a view that is formed."""
+        """Perform what is due. `wall_ms` is the wall clock, used for the number of a view that is formed."""
         sent = self.member.tick(now, wall_ms) if now >= self.member.due() else []
         actions = self._update_budget(now, sent)
-        self._next_step = now + STEP
+        self._next_budget_check = now + BUDGET_CHECK_INTERVAL
         if now >= self._next_sweep:
             self._next_sweep = now + self.session_terms.heartbeat
-            actions += self._sweep(now)
+            actions += self._close_stale_sessions(now)
         return actions
 
     def leave(self, now: int) -> list[NodeAction]:
-        """Begin a planned end: gateways are asked to go elsewhere, and what they give back is released."""
+        """Begin a planned shutdown: tell gateways to move to other nodes, and release the units that they return."""
         self.leaving = self.budget.leaving = True
         actions: list[NodeAction] = [SendToGateway(connection, Goodbye()) for connection in self.table.by_connection]
         return actions + self._update_budget(now, self.member.leave(now))
 
-    # What comes in
+    # Input
 
     def handle_node_message(self, now: int, sender: Member, message: ClusterMessage) -> list[NodeAction]:
-        """Take a message of another control node of the region, late or repeated as it may be."""
+        """Handle a message of another control node of the region; it may be late or a duplicate."""
         return self._update_budget(now, self.member.heard(now, sender, message))
 
     def handle_gateway_record(
         self, now: int, connection: ConnectionId, incarnation: int, record: Fields
     ) -> list[NodeAction]:
-        """Take a record from a gateway; `incarnation` is the one that its connection's hello names."""
+        """Handle a record from a gateway; `incarnation` is that of the hello on its connection."""
         match record:
             case SessionOpen():
-                actions = self._open(now, connection, incarnation, record)
+                actions = self._handle_open(now, connection, incarnation, record)
             case Heartbeat():
-                actions = self._heartbeat(now, connection, record)
+                actions = self._handle_heartbeat(now, connection, record)
             case SessionClose():
-                actions = self._close(connection, record)
+                actions = self._handle_close(connection, record)
             case _:
-                actions = self._broken(connection, f"{type(record).__name__} is no record of a session")
+                actions = self._protocol_violation(connection, f"{type(record).__name__} is no record of a session")
         return actions + self._update_budget(now, [])
 
     def connection_lost(self, now: int, connection: ConnectionId) -> list[NodeAction]:
-        """A gateway's connection ended. What its session was granted counts until it is over."""
+        """End the session of a connection that was lost. Its leases stay outstanding until they expire."""
         session = self.table.by_connection.get(connection)
         if session is None:
             return []
         self.table.end(session)
         return self._update_budget(now, [])
 
-    # What it says
+    # Status
 
     def outstanding(self, now: int) -> int:
-        """Return the units that its gateways may count now by its leases."""
+        """Return how many units its gateways may use now by its leases."""
         return self.table.outstanding(now)
 
     def status(self, now: int) -> ControlStatus:
-        """Return what an operator is told."""
+        """Return the status for operators."""
         agreement, replicated_log = self.member.agreement, self.member.replicated_log
         assert replicated_log is not None
         return ControlStatus(
@@ -158,7 +162,7 @@
             incarnation=self.member.me.incarnation,
             view=agreement.number,
             active=agreement.active,
-            leased=self.budget.lease_left(now) * MICROSECONDS_IN_TENTH,
+            leased=self.budget.lease_left(now) * MICROSECONDS_PER_TICK,
             leader=replicated_log.leader,
             leads=replicated_log.leads,
             entries=replicated_log.commit,
@@ -170,10 +174,10 @@
             nodes=tuple(self._node_status(name) for name in sorted(self.member.placements)),
         )
 
-    # Within: the region's nodes
+    # Budget and the other nodes of the region
 
     def _update_budget(self, now: int, sent: list[OutgoingMessage]) -> list[NodeAction]:
-        """Follow what an event changed, and propose what the budget needs then."""
+        """Update the budget after an event and return the messages to send: `sent`, proposals and commits."""
         self.budget.observe(now)
         if self.budget.begins_to_register(now):
             self.table.clear_grants()
@@ -181,15 +185,15 @@
         self.budget.observe(now)
         if self.budget.lease_left(now):
             self._last_leased_at = now
-        told = self._tell_commits(now)
-        return [SendToNode(node, message) for node, message in [*sent, *proposed, *told]]
+        commits = self._announce_commits(now)
+        return [SendToNode(node, message) for node, message in [*sent, *proposed, *commits]]
 
-    def _tell_commits(self, now: int) -> list[OutgoingMessage]:
-        """Tell the others at once what was decided: a budget that grew should be of use before the next entry."""
+    def _announce_commits(self, now: int) -> list[OutgoingMessage]:
+        """Broadcast a new commit index at once, so that nodes can use a larger budget before the next log entry."""
         replicated_log = self.member.replicated_log
-        if replicated_log is None or not replicated_log.leads or replicated_log.commit == self._told_commit:
+        if replicated_log is None or not replicated_log.leads or replicated_log.commit == self._announced_commit:
             return []
-        self._told_commit = replicated_log.commit
+        self._announced_commit = replicated_log.commit
         return list(replicated_log.broadcast_commit(now))
 
     def _node_status(self, name: str) -> NodeBudgetStatus:
@@ -199,102 +203,113 @@
             incarnation=record.incarnation if record else 0,
             sessions=record.weight if record else 0,
             units=record.units if record else 0,
-            seems=self._seems(name),
+            seems=self._peer_status(name),
         )
 
-    def _seems(self, name: str) -> Literal["alive", "suspect", "dead", "unseen"]:
+    def _peer_status(self, name: str) -> Literal["alive", "suspect", "dead", "unseen"]:
         if name == self.name:
             return "alive"
         other = self.member.failure_detector.others[name]
-        return SEEMS[other.state] if other.incarnation else "unseen"
+        return PEER_STATUS[other.state] if other.incarnation else "unseen"
 
-    # Within: sessions
+    # Sessions
 
-    def _sweep(self, now: int) -> list[NodeAction]:
-        """Close sessions of gateways that are silent, and all where this node may grant nothing for long."""
+    def _close_stale_sessions(self, now: int) -> list[NodeAction]:
+        """Close sessions of silent gateways, or all sessions if the node has held no lease for over a heartbeat."""
         if now - self._last_leased_at > self.session_terms.heartbeat:
-            return self._end_all("this control node holds no lease on its view")
+            return self._close_all_sessions("this control node holds no lease on its view")
         return [
             action
             for session in self.table.silent_sessions(now)
-            for action in self._end(session, "no heartbeat for too long")
+            for action in self._close_session(session, "no heartbeat for too long")
         ]
 
-    def _end_all(self, reason: str) -> list[NodeAction]:
-        return [action for session in list(self.table.by_connection.values()) for action in self._end(session, reason)]
+    def _close_all_sessions(self, reason: str) -> list[NodeAction]:
+        return [
+            action
+            for session in list(self.table.by_connection.values())
+            for action in self._close_session(session, reason)
+        ]
 
-    def _end(self, session: Session, reason: str) -> list[NodeAction]:
+    def _close_session(self, session: Session, reason: str) -> list[NodeAction]:
         self.table.end(session)
         return [CloseConnection(session.connection, reason)]
 
-    def _broken(self, connection: ConnectionId, reason: str) -> list[NodeAction]:
-        """The peer broke the session protocol: its session ends with the connection."""
+    def _protocol_violation(self, connection: ConnectionId, reason: str) -> list[NodeAction]:
+        """Close the connection, and its session if it has one, because the gateway violated the session protocol."""
         session = self.table.by_connection.get(connection)
         if session is not None:
-            return self._end(session, reason)
+            return self._close_session(session, reason)
         return [CloseConnection(connection, reason)]
 
-    def _open(self, now: int, connection: ConnectionId, incarnation: int, ask: SessionOpen) -> list[NodeAction]:
+    def _handle_open(
+        self, now: int, connection: ConnectionId, incarnation: int, request: SessionOpen
+    ) -> list[NodeAction]:
         if connection in self.table.by_connection:
-            return self._broken(connection, "a second SessionOpen on a connection that has a session")
-        if wrong := self._never(ask, incarnation):
-            return self._reject(connection, wrong, 0)
+            return self._protocol_violation(connection, "a second SessionOpen on a connection that has a session")
+        if reason := self._permanent_rejection_reason(request, incarnation):
+            return self._reject(connection, reason, 0)
         if self.leaving:
             return self._reject(connection, f"{self.name} is about to end", NO_LEASE_RETRY_AFTER)
         if not self.budget.lease_left(now):
             return self._reject(connection, f"{self.name} holds no lease on its view", NO_LEASE_RETRY_AFTER)
         if retry_after := self.admission.admit(now):
             return self._send_rejection(connection, "too many new sessions at once", retry_after)
-        actions = self._replace(ask.gateway)
-        session = self.table.open(now, connection, (ask.gateway, incarnation))
-        heartbeat_every = self.session_terms.heartbeat * MICROSECONDS_IN_TENTH
+        actions = self._close_previous_session(request.gateway)
+        session = self.table.open(now, connection, (request.gateway, incarnation))
+        heartbeat_every = self.session_terms.heartbeat * MICROSECONDS_PER_TICK
         accepted = SessionAccepted(self.cluster, self.name, session.number, heartbeat_every)
         return [*actions, SendToGateway(connection, accepted)]
 
-    def _never(self, ask: SessionOpen, incarnation: int) -> str:
-        """Return why the gateway is rejected for good; empty where it is not."""
-        if ask.cluster != self.cluster:
-            return f"cluster {ask.cluster!r}; this control node is of cluster {self.cluster!r}"
-        if ask.region != self.region:
-            return f"region {ask.region!r}; this control node is of region {self.region!r}"
-        if ask.gateway not in self.gateways:
-            return f"gateway {ask.gateway!r}: not among the gateways that the settings give region {self.region!r}"
-        session = self.table.by_gateway.get(ask.gateway)
+    def _permanent_rejection_reason(self, request: SessionOpen, incarnation: int) -> str:
+        """Return why the gateway is rejected permanently; empty if it is not."""
+        if request.cluster != self.cluster:
+            return f"cluster {request.cluster!r}; this control node is of cluster {self.cluster!r}"
+        if request.region != self.region:
+            return f"region {request.region!r}; this control node is of region {self.region!r}"
+        if request.gateway not in self.gateways:
+            return f"gateway {request.gateway!r}: not among the gateways that the settings give region {self.region!r}"
+        session = self.table.by_gateway.get(request.gateway)
         if session is not None and session.gateway_incarnation[1] > incarnation:
-            return f"gateway {ask.gateway!r}: a later start of it holds a session"
+            return f"gateway {request.gateway!r}: a later start of it holds a session"
         return ""
 
-    def _replace(self, gateway: str) -> list[NodeAction]:
-        """End the session that the gateway held before: its connection is lost, though that was not seen here."""
+    def _close_previous_session(self, gateway: str) -> list[NodeAction]:
+        """Close the previous session of the gateway: its connection was lost without this node having noticed."""
         session = self.table.by_gateway.get(gateway)
-        return self._end(session, "the gateway opened another session") if session is not None else []
+        return self._close_session(session, "the gateway opened another session") if session is not None else []
 
     def _reject(self, connection: ConnectionId, reason: str, retry_after: int) -> list[NodeAction]:
+        """Reject a session for a reason other than the admission rate; `retry_after` is 0 if permanently."""
         self.rejected += 1
         return self._send_rejection(connection, reason, retry_after)
 
     def _send_rejection(self, connection: ConnectionId, reason: str, retry_after: int) -> list[NodeAction]:
-        rejection = SessionRejected(self.cluster, self.name, reason, retry_after * MICROSECONDS_IN_TENTH)
+        rejection = SessionRejected(self.cluster, self.name, reason, retry_after * MICROSECONDS_PER_TICK)
         return [SendToGateway(connection, rejection), CloseConnection(connection, reason)]
 
-    def _heartbeat(self, now: int, connection: ConnectionId, heartbeat: Heartbeat) -> list[NodeAction]:
+    def _handle_heartbeat(self, now: int, connection: ConnectionId, heartbeat: Heartbeat) -> list[NodeAction]:
         session = self.table.by_connection.get(connection)
         if session is None or session.number != heartbeat.session:
-            return self._broken(
+            return self._protocol_violation(
                 connection, f"a heartbeat of session {heartbeat.session}, which this connection has not"
             )
         if not self.table.acknowledge(session, heartbeat.lease):
-            return self._broken(connection, f"lease {heartbeat.lease} acknowledged, which was never granted")
+            return self._protocol_violation(
+                connection, f"lease {heartbeat.lease} acknowledged, which was never granted"
+            )
         session.last_heartbeat_at = now
         valid_for = min(self.session_terms.lease, self.budget.lease_left(now))
         units = self.table.renew(now, session, self.budget.budget(), self.budget.share(), valid_for)
-        lasts = valid_for * MICROSECONDS_IN_TENTH if units else 0
-        renewal = LeaseRenewal(session.number, heartbeat.asked_at, session.lease, units, lasts)
+        valid_for_us = valid_for * MICROSECONDS_PER_TICK if units else 0
+        renewal = LeaseRenewal(session.number, heartbeat.asked_at, session.lease, units, valid_for_us)
         return [SendToGateway(connection, renewal)]
 
-    def _close(self, connection: ConnectionId, close: SessionClose) -> list[NodeAction]:
+    def _handle_close(self, connection: ConnectionId, close: SessionClose) -> list[NodeAction]:
         session = self.table.by_connection.get(connection)
         if session is None or session.number != close.session:
-            return self._broken(connection, f"a close of session {close.session}, which this connection has not")
+            return self._protocol_violation(
+                connection, f"a close of session {close.session}, which this connection has not"
+            )
         self.table.release_grants(session)
-        return self._end(session, "the gateway closed its session")
+        return self._close_session(session, "the gateway closed its session")
