--- a/tests/control/test_session_client.py
+++ b/tests/control/test_session_client.py
@@ -82,8 +82,8 @@
         assert [type(action) for _, action in done] == [ConnectToNode]
         node = done[0][1].node
         self.client.connected(self.now, node)
-        beat = first_heartbeat(self.accept(node))
-        assert self.client.handle_record(self.now, node, self.renewal(beat.asked_at, units)) == []
+        heartbeat = first_heartbeat(self.accept(node))
+        assert self.client.handle_record(self.now, node, self.renewal(heartbeat.asked_at, units)) == []
         return node
 
     def answer(self, done, units=UNITS):
@@ -257,8 +257,8 @@
     harness.run(SECOND // 5)
     second = harness.client.order[1]
     harness.client.connected(harness.now, second)
-    beat = first_heartbeat(harness.accept(second))
-    harness.client.handle_record(harness.now, second, harness.renewal(beat.asked_at))
+    heartbeat = first_heartbeat(harness.accept(second))
+    harness.client.handle_record(harness.now, second, harness.renewal(heartbeat.asked_at))
     return second
 
 
@@ -283,8 +283,8 @@
     first = harness.client.order[0]
     assert done[0][1] == ConnectToNode(first) and harness.now - begun > 14 * SECOND
     harness.client.connected(harness.now, first)
-    beat = first_heartbeat(harness.accept(first))
-    empty = harness.renewal(beat.asked_at, units=0)
+    heartbeat = first_heartbeat(harness.accept(first))
+    empty = harness.renewal(heartbeat.asked_at, units=0)
     assert harness.client.handle_record(harness.now, first, empty) == []  # the new node grants nothing yet
     assert harness.client.effective_lease(harness.now).node == second
     harness.run(SECOND)  # both sessions have sent a heartbeat by then, the new one later
@@ -318,8 +318,8 @@
     other = asked[0].node
     assert other != node and harness.now - START >= TERMS.lease
     harness.client.connected(harness.now, other)
-    beat = first_heartbeat(harness.accept(other))
-    actions = harness.client.handle_record(harness.now, other, harness.renewal(beat.asked_at))
+    heartbeat = first_heartbeat(harness.accept(other))
+    actions = harness.client.handle_record(harness.now, other, harness.renewal(heartbeat.asked_at))
     assert actions[0] == SendToControl(node, SessionClose(session=1))
     assert harness.client.node == other and harness.client.part(harness.now) == gateway_part(UNITS, GATEWAYS)
 
@@ -331,9 +331,9 @@
     harness.client.connection_lost(harness.now, node)
     harness.run(SECOND // 5)
     harness.client.connected(harness.now, node)
-    beat = first_heartbeat(harness.accept(node))
+    heartbeat = first_heartbeat(harness.accept(node))
     assert harness.client.part(harness.now) == gateway_part(UNITS, GATEWAYS)
-    harness.client.handle_record(harness.now, node, harness.renewal(beat.asked_at, units=0))
+    harness.client.handle_record(harness.now, node, harness.renewal(heartbeat.asked_at, units=0))
     assert harness.client.part(harness.now) == SAFE_PART
 
 
