--- a/benchmarks/control_mutants.py
+++ b/benchmarks/control_mutants.py
@@ -87,7 +87,7 @@
             setattr(self.owner, self.method, real)
 
 
-_follow, _release, _renewed = BudgetAgent._follow, BudgetAgent._release, GatewaySession.renewed
+_follow, _release, _apply_renewal = BudgetAgent._follow, BudgetAgent._release, GatewaySession.apply_renewal
 
 
 def keeps_its_term(self: BudgetAgent, now: int, view: Any) -> bool:
@@ -103,13 +103,13 @@
     """Take the acknowledged lease itself for over too."""
     if lease > session.acknowledged:
         session.acknowledged = lease
-        self._drop(session.start, lambda grant: True)
+        self._remove_grants(session.gateway_incarnation, lambda grant: True)
     return True
 
 
 def counts_from_receipt(self: GatewaySession, now: int, renewal: Any) -> Any:
     """Count a lease from when it came in, not from when it was asked for."""
-    return replace(_renewed(self, now, renewal), until=now + renewal.valid_for // MICROSECONDS_PER_TICK)
+    return replace(_apply_renewal(self, now, renewal), until=now + renewal.valid_for // MICROSECONDS_PER_TICK)
 
 
 def reclaims_early(self: BudgetAgent, now: int) -> bool:
@@ -119,7 +119,7 @@
 
 
 MUTANTS = (
-    Mutant("outstanding without drift", SessionTable, "lasts", lambda self, valid_for: valid_for),
+    Mutant("outstanding without drift", SessionTable, "outstanding_duration", lambda self, valid_for: valid_for),
     Mutant("acknowledged lease taken for over", SessionTable, "acknowledge", acknowledges_all),
     Mutant("no new term", BudgetAgent, "_follow", keeps_its_term),
     Mutant("grants what it released", BudgetAgent, "budget", lambda self: self.record.units if self.record else 0),
@@ -143,7 +143,7 @@
         lambda self, now: self.terms.lease if self.lease_end > now else 0,
     ),
     Mutant("a grant between nodes binds nobody", LeaseTerms, "granter_duration", lambda self: 1),
-    Mutant("gateway counts from receipt", GatewaySession, "renewed", counts_from_receipt),
+    Mutant("gateway counts from receipt", GatewaySession, "apply_renewal", counts_from_receipt),
 )
 
 
--- a/tansykeel/emulator/control_processes.py
+++ b/tansykeel/emulator/control_processes.py
@@ -10,8 +10,8 @@
 from tansykeel.control.actions import (
     CloseConnection,
     ConnectToNode,
-    CountedLease,
     DisconnectFromNode,
+    EffectiveLease,
     GatewayAction,
     NodeAction,
     SendToControl,
@@ -53,7 +53,7 @@
     def close(self, connection: Connection, by_gateway: bool) -> None:
         """End a connection after all that was sent on it from this end."""
 
-    def claimed(self, gateway: GatewayProcess, lease: CountedLease) -> None:
+    def claimed(self, gateway: GatewayProcess, lease: EffectiveLease) -> None:
         """Note that a gateway counts something else than before."""
 
 
@@ -165,7 +165,7 @@
     def arrived(self, connection: Connection, record: Fields) -> None:
         """A frame of a control node came in."""
         if self._has(connection) and not self.waits(self.arrived, connection, record):
-            self._step(lambda: self.client.received(self.now(), connection.node, record))
+            self._step(lambda: self.client.handle_record(self.now(), connection.node, record))
 
     def lost(self, connection: Connection) -> None:
         """A connection ended, or never came up."""
@@ -184,7 +184,7 @@
 
     def _step(self, step: Callable[[], list[GatewayAction]]) -> None:
         actions = self.carrier.measure(self, step)
-        lease = self.client.counts(self.now())
+        lease = self.client.effective_lease(self.now())
         if lease != self._claimed:
             self._claimed = lease
             self.carrier.claimed(self, lease)
@@ -248,13 +248,13 @@
     def heard(self, sender: Member, message: ClusterMessage) -> None:
         """Take a message of another control node."""
         if self.up and not self.waits(self.heard, sender, message):
-            self._step(lambda: self.node.node_message(self.now(), sender, message))
+            self._step(lambda: self.node.handle_node_message(self.now(), sender, message))
 
     def arrived(self, connection: Connection, record: Fields) -> None:
         """Take a frame of a gateway."""
         if self._has(connection) and not self.waits(self.arrived, connection, record):
             incarnation = connection.gateway_incarnation
-            self._step(lambda: self.node.gateway_message(self.now(), connection.number, incarnation, record))
+            self._step(lambda: self.node.handle_gateway_record(self.now(), connection.number, incarnation, record))
 
     def lost(self, connection: Connection) -> None:
         """A connection ended at its other end."""
