--- a/tansykeel/platform/connection.py
+++ b/tansykeel/platform/connection.py
@@ -18,7 +18,7 @@
 # Seconds after its head in which a request's last byte has to be written: the head tells the time that is left, which
 # may be over by 0.15 s, and a task's deadline is up to 0.1 s before its client's.
 WRITE_WITHIN = 0.15
-STALE_WITHIN = 0.02  # seconds after a request in which a kept connection that was dead already shows it
+STALE_WINDOW = 0.02  # seconds after a request in which a kept connection that was dead already shows it
 
 
 class ConnectionPool(Protocol):
@@ -196,7 +196,7 @@
 
     def _report_broken(self, attempt: Attempt, request_was_written: bool) -> None:
         nothing_came = self.reader is None or not self.reader.size
-        if self.has_answered and nothing_came and self.gateway.now() - self.sent_at < STALE_WITHIN:
+        if self.has_answered and nothing_came and self.gateway.now() - self.sent_at < STALE_WINDOW:
             self.gateway.found_stale(self.idle_before_request)
         if request_was_written:
             how = How.RESET
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -138,7 +138,7 @@
 
 def test_kept_connections_are_trusted_less_once_one_was_found_dead(tmp_path, monkeypatch):
     """Guards against connections that are dropped unseen while they idle: each costs its task a hand-off."""
-    monkeypatch.setattr("tansykeel.platform.connection.STALE_WITHIN", 5.0)
+    monkeypatch.setattr("tansykeel.platform.connection.STALE_WINDOW", 5.0)
 
     async def go():
         store = Store("s0", 0)
