--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -146,7 +146,7 @@
             name=file.name,
             listen=file.listen,
             clients=self.clients.most,
-            stores=self.stores.most,
+            stores=self.stores.max_connections,
             memory_mb=file.limits.memory_mb,
             cores=file.limits.cores,
             known=len(self.core.stores),
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -26,12 +26,12 @@
 
 
 class Stores:
-    """All connections to stores, `most` at once; answers hold `most_bytes`, those not taken by clients too."""
+    """All connections to stores, `max_connections` at once; answers hold `most_bytes`, also those not taken."""
 
     def __init__(
         self,
         core: Core,
-        most: int,
+        max_connections: int,
         most_bytes: int,
         clients: Clients,
         connect_within: float,
@@ -48,7 +48,7 @@
         """`list_caught_up`: whether all that discovery has said was read."""
         self.list_caught_up, self.violations, self.counts = list_caught_up, violations, counts
         self.core, self.clients = core, clients
-        self.most, self.most_bytes = most, most_bytes
+        self.max_connections, self.most_bytes = max_connections, most_bytes
         self.connect_within, self.idle_close, self.longest = connect_within, idle_close, longest
         self.clock, self.now, self.after, self.note = clock, now, after, note
         self.pools: dict[Store, Pool] = {}
@@ -124,7 +124,7 @@
 
     def room(self, make: bool = True) -> bool:
         """Whether another connection may be opened; to make room the one that idles longest is closed."""
-        if sum(len(pool.connections) for pool in self.pools.values()) < self.most:
+        if sum(len(pool.connections) for pool in self.pools.values()) < self.max_connections:
             return True
         idle = [connection for pool in self.pools.values() for connection in pool.idle]
         if idle and make:
--- a/tests/platform/test_final_answers.py
+++ b/tests/platform/test_final_answers.py
@@ -59,7 +59,7 @@
         held, wants, gone = Store("s0", 0, lambda request: None), Store("s1", 1), Store("s2", 2)
         async with staged(tmp_path, held, wants, gone) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
-            stage.gateway.stores.most = 1
+            stage.gateway.stores.max_connections = 1
             first, left, last = [await stage.client() for _ in range(3)]
             first.writer.write(asking(1, x_remaining="0.8"))
             await until(lambda: held.got)
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -332,7 +332,7 @@
     async def go():
         store = Store("s0", 0, lambda request: ok())
         async with staged(tmp_path, store) as stage:
-            stage.gateway.stores.most = 1
+            stage.gateway.stores.max_connections = 1
             store.reply = lambda request: b"" if len(store.got) == 1 else ok()
             clients = [await stage.client() for _ in range(3)]
             answers = await asyncio.gather(*(client.ask(id) for id, client in enumerate(clients, 1)))
--- a/tests/platform/test_second_answers.py
+++ b/tests/platform/test_second_answers.py
@@ -253,7 +253,7 @@
         store = TwiceStore(seed)
         async with staged(tmp_path, store, settings=settings) as stage:
             store.stage = stage
-            stage.gateway.stores.most = most
+            stage.gateway.stores.max_connections = most
             delivered = 0
 
             async def asks(number):
--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -135,7 +135,7 @@
         async with staged(tmp_path, store) as stage:
             client, stores = await stage.client(), stage.gateway.stores
             if crowded:
-                stores.most = 1
+                stores.max_connections = 1
             assert (await client.ask(1)).body == b"%016x" % 1
             hand_off = stores.hand_off
 
@@ -160,7 +160,7 @@
     async def go():
         store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
-            stage.gateway.stores.most = 1
+            stage.gateway.stores.max_connections = 1
             client = await stage.client()
             assert (await client.ask(1)).body == b"%016x" % 1
             client.writer.write(asking(2))
