--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -26,13 +26,13 @@
 
 
 class Stores:
-    """All connections to stores, `max_connections` at once; answers hold `most_bytes`, also those not taken."""
+    """All connections to stores, `max_connections` at once; answers hold `max_answer_bytes`, also those not taken."""
 
     def __init__(
         self,
         core: Core,
         max_connections: int,
-        most_bytes: int,
+        max_answer_bytes: int,
         clients: Clients,
         connect_within: float,
         idle_close: float,
@@ -48,7 +48,7 @@
         """`list_caught_up`: whether all that discovery has said was read."""
         self.list_caught_up, self.violations, self.counts = list_caught_up, violations, counts
         self.core, self.clients = core, clients
-        self.max_connections, self.most_bytes = max_connections, most_bytes
+        self.max_connections, self.max_answer_bytes = max_connections, max_answer_bytes
         self.connect_within, self.idle_close, self.longest = connect_within, idle_close, longest
         self.clock, self.now, self.after, self.note = clock, now, after, note
         self.pools: dict[Store, Pool] = {}
@@ -120,7 +120,7 @@
 
     def answers_exceed_memory(self) -> bool:
         """Whether the answers held take more memory than they may."""
-        return self.held_bytes() > self.most_bytes
+        return self.held_bytes() > self.max_answer_bytes
 
     def room(self, make: bool = True) -> bool:
         """Whether another connection may be opened; to make room the one that idles longest is closed."""
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -129,7 +129,7 @@
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             assert (await client.ask(1)).body == b"x" * 400_000
-            stage.gateway.stores.most_bytes = 200_000
+            stage.gateway.stores.max_answer_bytes = 200_000
             assert (await client.ask(2)).status == 503
             assert stage.gateway.core.counts.outcomes == {"delivered": 1, "error": 3}
 
