--- a/tansykeel/platform/pool.py
+++ b/tansykeel/platform/pool.py
@@ -28,7 +28,7 @@
 
     connect_within: float  # seconds
     longest: float  # seconds, the longest deadline
-    trusted: float  # seconds for which a connection may idle and still be used
+    idle_limit: float  # seconds for which a connection may idle and still be used
     counts: EventCounts
 
     def clock(self) -> int:
@@ -138,7 +138,7 @@
         for connection in [one for one in self.connections if not one.is_up and now >= one.connect_deadline]:
             connection.close(StoreConnectionEnd.NOT_UP)
             self.connect_failed(retry=False)
-        for connection in [one for one in self.idle if now - one.idle_since >= self.gateway.trusted]:
+        for connection in [one for one in self.idle if now - one.idle_since >= self.gateway.idle_limit]:
             connection.close(StoreConnectionEnd.IDLE)
         # Guards against answers that trickle without an end to tasks that have theirs.
         oldest = now - self.gateway.longest - ABANDONED_FOR
@@ -278,7 +278,7 @@
             idle_time = now - connection.idle_since
             if idle_time < self.cool_down:
                 continue
-            if idle_time > self.gateway.trusted:
+            if idle_time > self.gateway.idle_limit:
                 connection.close(StoreConnectionEnd.IDLE)
             elif connection.stream.quiet():
                 self.idle.remove(connection)
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -53,7 +53,7 @@
         self.clock, self.now, self.after, self.note = clock, now, after, note
         self.pools: dict[Store, Pool] = {}
         self._waiting_for_room: dict[Pool, None] = {}
-        self.trusted = idle_close * IDLE_PART  # seconds for which a connection may idle and still be used
+        self.idle_limit = idle_close * IDLE_PART  # seconds for which a connection may idle and still be used
 
     # What the gateway wants
 
@@ -81,7 +81,7 @@
     def look(self) -> None:
         """Close what is late or idles too long; called several times a second."""
         now = self.now()
-        self.trusted = min(self.trusted * TRUST_GROWTH, self.idle_close * IDLE_PART)
+        self.idle_limit = min(self.idle_limit * TRUST_GROWTH, self.idle_close * IDLE_PART)
         for store, pool in list(self.pools.items()):
             pool.check_timeouts(now)
             if store.state is State.GONE and not pool.connections and not pool.waiting:
@@ -155,7 +155,7 @@
 
     def found_stale(self, idle_time: float) -> None:
         """Guards against connections that are dropped unseen while they idle: each costs its task an attempt."""
-        self.trusted = min(self.trusted, max(idle_time * STALE_SHRINK, COOL_DOWN))
+        self.idle_limit = min(self.idle_limit, max(idle_time * STALE_SHRINK, COOL_DOWN))
 
     def later(self, call: Callable[[], None]) -> None:
         """Call in the loop's next turn."""
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -144,16 +144,16 @@
         store = Store("s0", 0)
         async with staged(tmp_path, store) as stage:
             stores, client = stage.gateway.stores, await stage.client()
-            assert (await client.ask(1)).status == 200 and stores.trusted == 12.0
+            assert (await client.ask(1)).status == 200 and stores.idle_limit == 12.0
             await asyncio.sleep(0.1)
             store.reply = lambda request: b"" if len(store.got) == 2 else ok()
             assert (await client.ask(2)).status == 200 and len(store.got) == 3 and len(store.writers) == 2
-            assert 0.05 <= stores.trusted < 1.0
-            await asyncio.sleep(2 * stores.trusted)
+            assert 0.05 <= stores.idle_limit < 1.0
+            await asyncio.sleep(2 * stores.idle_limit)
             assert (await client.ask(3)).status == 200 and len(store.writers) == 3
             for _ in range(80):
                 stores.look()
-            assert stores.trusted == 12.0
+            assert stores.idle_limit == 12.0
 
     play(go())
 
