--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -78,7 +78,7 @@
         for pool in list(self.pools.values()):
             pool.list_changed()
 
-    def look(self) -> None:
+    def check_timeouts(self) -> None:
         """Close what is late or idles too long; called several times a second."""
         now = self.now()
         self.idle_limit = min(self.idle_limit * TRUST_GROWTH, self.idle_close * IDLE_PART)
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -152,7 +152,7 @@
             await asyncio.sleep(2 * stores.idle_limit)
             assert (await client.ask(3)).status == 200 and len(store.writers) == 3
             for _ in range(80):
-                stores.look()
+                stores.check_timeouts()
             assert stores.idle_limit == 12.0
 
     play(go())
--- a/tests/platform/test_second_answers.py
+++ b/tests/platform/test_second_answers.py
@@ -22,7 +22,7 @@
 
 def without_checks(stage):
     """Stop the gateway from checking several times a second, which shrinks the cool-down; return the check."""
-    check, stage.gateway.stores.look = stage.gateway.stores.look, lambda: None
+    check, stage.gateway.stores.check_timeouts = stage.gateway.stores.check_timeouts, lambda: None
     return check
 
 
--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -113,7 +113,7 @@
         async with staged(tmp_path, store, settings=settings) as stage:
             assert (await (await stage.client()).ask(1, x_remaining="0.3")).status in (500, 503)
             stores = stage.gateway.stores
-            stores.look()
+            stores.check_timeouts()
             pool = next(iter(stores.pools.values()))
             assert len(pool.connections) == 1
             now = stores.now
