--- a/tansykeel/platform/discovery.py
+++ b/tansykeel/platform/discovery.py
@@ -157,7 +157,7 @@
             self._let_go(watch)
         self._open()
 
-    def look(self) -> None:
+    def check_timeouts(self) -> None:
         """Guards against a watch that fell silent without an end, wherever in an object it did, that trickles, or that
         never came up: another is opened beside it, and one more where that has no word either."""
         now, here = self.now(), self._here()
--- a/tansykeel/platform/periodic_checks.py
+++ b/tansykeel/platform/periodic_checks.py
@@ -69,7 +69,7 @@
             for look in (
                 gateway.clients.look,
                 gateway.stores.check_timeouts,
-                gateway.discovery.look,
+                gateway.discovery.check_timeouts,
                 self._answer_overdue,
             ):
                 self._guarded(look)
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -133,7 +133,7 @@
                 assert clock[0] <= begun + 6.0
                 tried = len(list_.asked)
                 newest = discovery.watches[-1]
-                discovery.look()
+                discovery.check_timeouts()
                 if discovery.watches[-1] is not newest:
                     await until(lambda tried=tried: len(list_.asked) > tried)
                     await until(
@@ -195,7 +195,7 @@
                 list_.drip(drip)
                 await until(lambda before=before: len(came) > before)
                 opened = len(list_.asked)
-                discovery.look()
+                discovery.check_timeouts()
                 if len(discovery.watches) > opened:
                     await until(lambda: core.list_version == 5)
             await until(lambda: len(discovery.watches) == 1)
