--- a/tansykeel/platform/pool.py
+++ b/tansykeel/platform/pool.py
@@ -49,8 +49,8 @@
     def violation(self, attempt: Attempt) -> bool:
         """Whether writing the attempt now would break an invariant; it is counted then."""
 
-    def room(self, make: bool = True) -> bool:
-        """Whether another connection may be opened; `make`: also by closing one that idles."""
+    def may_open_connection(self, evict: bool = True) -> bool:
+        """Whether another connection may be opened; `evict`: also by closing one that idles."""
 
     def wait_for_room(self, pool: Pool) -> None:
         """Call the pool's `open` once another connection may be opened."""
@@ -156,7 +156,7 @@
         coming_up = sum(not connection.is_up for connection in self.connections)
         if coming_up >= len(self.waiting) or self.gateway.address(self.store) is None:
             return
-        if self.gateway.room():
+        if self.gateway.may_open_connection():
             self._connect()
         else:
             self.gateway.wait_for_room(self)
@@ -187,7 +187,7 @@
         while attempt := self._next_attempt():
             if connection := self._take_idle():
                 self._send(connection, attempt)
-            elif self.idle and not self.gateway.room(make=False):
+            elif self.idle and not self.gateway.may_open_connection(evict=False):
                 # No other may be opened, and this one only has to cool down.
                 return self._serve_after(self.cool_down)
             else:
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -122,12 +122,12 @@
         """Whether the answers held take more memory than they may."""
         return self.held_bytes() > self.max_answer_bytes
 
-    def room(self, make: bool = True) -> bool:
+    def may_open_connection(self, evict: bool = True) -> bool:
         """Whether another connection may be opened; to make room the one that idles longest is closed."""
         if sum(len(pool.connections) for pool in self.pools.values()) < self.max_connections:
             return True
         idle = [connection for pool in self.pools.values() for connection in pool.idle]
-        if idle and make:
+        if idle and evict:
             min(idle, key=lambda connection: connection.idle_since).close(StoreConnectionEnd.ROOM)
             return True
         return False
@@ -148,7 +148,7 @@
     def _open_next(self) -> None:
         """Let pools that wait open connections while there is room: one may not need it any more."""
         for pool in list(self._waiting_for_room):
-            if not self.room(make=False):
+            if not self.may_open_connection(evict=False):
                 return
             del self._waiting_for_room[pool]
             pool.open()
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -166,16 +166,16 @@
             gateway, client = stage.gateway, await stage.client()
             await until(lambda: gateway.core.list_version >= 0)
             right, gateway.core.addresses[gateway.core.stores["s0"]] = store.address, "127.0.0.1:1"
-            look, left = gateway.stores.room, [fails]
+            look, left = gateway.stores.may_open_connection, [fails]
 
-            def room(make=True):
-                if make and not left[0]:
+            def room(evict=True):
+                if evict and not left[0]:
                     gateway.core.addresses[gateway.core.stores["s0"]] = right
-                elif make:
+                elif evict:
                     left[0] -= 1
-                return look(make)
+                return look(evict)
 
-            gateway.stores.room = room
+            gateway.stores.may_open_connection = room
             assert (await client.ask(1)).status == 200
             assert gateway.core.counts.outcomes == ends and len(store.got) == 1
 
@@ -238,10 +238,10 @@
             await other.start()
             gateway, client = stage.gateway, await stage.client()
             await until(lambda: gateway.core.list_version >= 0)
-            gateway.stores.room = lambda make=True: False  # as if no descriptor were left
+            gateway.stores.may_open_connection = lambda evict=True: False  # as if no descriptor were left
             client.writer.write(asking(1))
             await until(lambda: any(pool.waiting for pool in gateway.stores.pools.values()))
-            del gateway.stores.room
+            del gateway.stores.may_open_connection
             stage.list.tell([store.row(phase="Terminating"), other.row()])
             assert (await client.answer()).status == 200 and not store.got and len(other.got) == 1
             await other.stop()
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -33,8 +33,8 @@
 
 def closed_to_new(stage, here):
     """No connection to a store may be opened, as if no descriptor were left, while `here` holds."""
-    room, stores = stage.gateway.stores.room, stage.gateway.stores
-    stores.room = lambda make=True: not here and room(make)
+    room, stores = stage.gateway.stores.may_open_connection, stage.gateway.stores
+    stores.may_open_connection = lambda evict=True: not here and room(evict)
     return room
 
 
@@ -51,7 +51,7 @@
             await until(lambda: any(pool.waiting for pool in stores.pools.values()))
             leave(client, way)
             await left(stage)
-            stores.room = room
+            stores.may_open_connection = room
             for pool in stores.pools.values():
                 pool.serve_waiting()
             other = await stage.client()
@@ -83,7 +83,7 @@
             leave(client, way)
             await left(stage)
             assert time.monotonic() - begun < 2.0  # before its time is up
-            stores.room = room
+            stores.may_open_connection = room
             assert (await (await stage.client()).ask(3)).status == 200
             assert [request.fields[b"x-txn"][-1:] for request in store.got] == [b"3"]
 
