--- a/tansykeel/platform/discovery.py
+++ b/tansykeel/platform/discovery.py
@@ -130,11 +130,17 @@
         clock: Callable[[], int],
         now: Callable[[], float],
         changed: Callable[[], None],
-        pressure: Callable[[], None],
+        free_descriptors: Callable[[], None],
         note: Callable[..., Any],
     ) -> None:
         self.core, self.address, self.rows, self.revision = core, address, rows, revision
-        self.clock, self.now, self.changed, self.pressure, self.note = clock, now, changed, pressure, note
+        self.clock, self.now, self.changed, self.free_descriptors, self.note = (
+            clock,
+            now,
+            changed,
+            free_descriptors,
+            note,
+        )
         self.watches: list[Watch] = []  # the newest last; an older one goes once a newer one has a word
         self.heard = now()  # when the last word came
         self.last_word: float | None = None  # monotonic time of the last word of any watch, None before the first
@@ -234,7 +240,7 @@
         except OSError as error:
             self.note("no watch", why=error.strerror or type(error).__name__)
             if lacks_descriptor(error):
-                self.pressure()
+                self.free_descriptors()
             return self._lost()
         if len(self.watches) > MOST_WATCHES:
             self._let_go(self._least_promising())
--- a/tansykeel/platform/pool.py
+++ b/tansykeel/platform/pool.py
@@ -61,7 +61,7 @@
     def freed(self) -> None:
         """A connection was closed."""
 
-    def pressure(self) -> None:
+    def free_descriptors(self) -> None:
         """No descriptor is left."""
 
     def later_outcome(self, attempt: Attempt, how: How) -> None:
@@ -176,7 +176,7 @@
         if isinstance(error, OSError) and error.errno in OUT_OF_FILES:
             # Guards against a store that counts as out of reach because we lack a descriptor.
             if lacks_descriptor(error):
-                self.gateway.pressure()
+                self.gateway.free_descriptors()
             self.gateway.after(PRESSURE_REST, self.open)
         else:
             # What fails on this machine for a moment (no free port, no route) says little of the store.
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -118,7 +118,7 @@
             clock,
             loop.time,
             self.stores.list_changed,
-            self.stores.pressure,
+            self.stores.free_descriptors,
             log,
         )
 
@@ -140,7 +140,7 @@
         with suppress(TimeoutError):
             # Guards against a send on the word of `known`: the agent may hold a drain that it has not.
             await asyncio.wait_for(self.discovery.first.wait(), FIRST_LIST)
-        accepting = loop.create_task(accept_all(listener, self.clients.accept, self.stores.pressure))
+        accepting = loop.create_task(accept_all(listener, self.clients.accept, self.stores.free_descriptors))
         log(
             "ready",
             name=file.name,
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -87,7 +87,7 @@
             if store.state is State.GONE and not pool.connections and not pool.waiting:
                 del self.pools[store]
 
-    def pressure(self) -> None:
+    def free_descriptors(self) -> None:
         """No descriptor is left: close what idles."""
         self.clients.make_place()
         for pool in self.pools.values():
--- a/tests/platform/test_system_calls.py
+++ b/tests/platform/test_system_calls.py
@@ -269,7 +269,7 @@
             new = await stage.client()
             await until(lambda: len(stage.gateway.clients.conns) == 3)
             for _ in range(3):
-                stage.gateway.stores.pressure()
+                stage.gateway.stores.free_descriptors()
             assert await rested.ended()
             begun.writer.write(b"x HTTP/1.1\r\nHost: a\r\n\r\n")
             assert (await begun.answer()).status == 404
@@ -322,7 +322,7 @@
                 clients = [await stage.client() for _ in range(6)]
                 answers = await asyncio.gather(*(c.ask(10 * round + n) for n, c in enumerate(clients, 1)))
                 assert [answer and answer.status for answer in answers] == [200] * 6
-                stage.gateway.stores.pressure()
+                stage.gateway.stores.free_descriptors()
             assert len(connects) > 8
             assert "no connection" not in stage.gateway.core.counts.outcomes
 
