--- a/tansykeel/platform/discovery.py
+++ b/tansykeel/platform/discovery.py
@@ -148,7 +148,7 @@
         self.first = asyncio.Event()  # a list was told
         self.over = False
 
-    def ask(self) -> None:
+    def ensure_watch(self) -> None:
         """Watch, if nothing is being watched at the address."""
         if not self._here() and not self.over:
             self._open()
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -136,7 +136,7 @@
         )
         handlers = {signal.SIGTERM: self.stop, signal.SIGINT: self.stop, signal.SIGHUP: self.read_anew}
         (signals or StartSignals()).hand_over(loop, handlers)
-        self.discovery.ask()
+        self.discovery.ensure_watch()
         with suppress(TimeoutError):
             # Guards against a send on the word of `known`: the agent may hold a drain that it has not.
             await asyncio.wait_for(self.discovery.first.wait(), FIRST_LIST)
@@ -315,7 +315,7 @@
 
     def request_store_list(self) -> None:
         if self._discovery:  # not yet there while the core is made
-            self._discovery.ask()
+            self._discovery.ensure_watch()
 
     def send_to_peer(self, peer: int | None, word: Word) -> None:
         pass  # the platform has no way between gateways that its settings allow
