--- a/tansykeel/platform/discovery.py
+++ b/tansykeel/platform/discovery.py
@@ -153,7 +153,7 @@
         if not self._here() and not self.over:
             self._open()
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Another address from now on. What spoke at the old one is let go once the new one has a word."""
         if address == self.address or self.over:
             return
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -227,7 +227,7 @@
         if config.file.settings != self.config.file.settings:
             log("other settings are taken at the next start only")
         self.config = config
-        self.discovery.move(config.file.discovery)
+        self.discovery.change_address(config.file.discovery)
 
     # What clients say
 
