--- a/tansykeel/platform/discovery.py
+++ b/tansykeel/platform/discovery.py
@@ -145,7 +145,7 @@
         self.heard = now()  # when the last word came
         self.last_word: float | None = None  # monotonic time of the last word of any watch, None before the first
         self.moved = False  # the address changed, and nothing was told there yet
-        self.first = asyncio.Event()  # a list was told
+        self.first_list = asyncio.Event()  # a list was told
         self.over = False
 
     def ensure_watch(self) -> None:
@@ -206,7 +206,7 @@
                 complete=members.complete,
                 members=[(row.name, row.state) for row in rows[:20]],
             )
-        self.first.set()
+        self.first_list.set()
         self.changed()
 
     def ended(self, watch: Watch, why: str, do: str = "") -> None:
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -139,7 +139,7 @@
         self.discovery.ensure_watch()
         with suppress(TimeoutError):
             # Guards against a send on the word of `known`: the agent may hold a drain that it has not.
-            await asyncio.wait_for(self.discovery.first.wait(), FIRST_LIST)
+            await asyncio.wait_for(self.discovery.first_list.wait(), FIRST_LIST)
         accepting = loop.create_task(accept_all(listener, self.clients.accept, self.stores.free_descriptors))
         log(
             "ready",
