--- a/tansykeel/platform/discovery.py
+++ b/tansykeel/platform/discovery.py
@@ -215,7 +215,7 @@
         self.note("watch ended", why=why, **({"do": do} if do else {}))
         self._lost()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.over = True
         for watch in list(self.watches):
             self._let_go(watch)
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -166,7 +166,7 @@
         listener.close()
         await self._end(killed)
         looking.cancel()
-        self.discovery.end()
+        self.discovery.stop()
         self.checks.report()
         log("stopped", left_unanswered=len(self.open))
         return 0
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -243,7 +243,7 @@
             asker.writer.transport.abort()
         for client in list(gateway.clients.conns):
             client.close(ClientEnd.GATEWAY_ENDS)
-        gateway.discovery.end()
+        gateway.discovery.stop()
         for pool in gateway.stores.pools.values():
             for connection in list(pool.connections):
                 connection.close(StoreConnectionEnd.GIVEN_UP)
