--- a/tansykeel/platform/periodic_checks.py
+++ b/tansykeel/platform/periodic_checks.py
@@ -18,7 +18,7 @@
 from tansykeel.platform.stall_detector import MARGIN, StallDetector
 from tansykeel.platform.stores import Stores
 
-LOOK = 0.25  # seconds between looks at what idles, stalls or fell silent
+CHECK_INTERVAL = 0.25  # seconds between looks at what idles, stalls or fell silent
 READ_FIRST = 0.001  # seconds in which the loop reads what has come
 REPORT = 10.0  # seconds between lines of figures in the log
 TIDY = 5.0  # seconds between collections of cycles
@@ -59,8 +59,8 @@
         gateway, now = self.gateway, self.now()
         report, tidy, late = now + REPORT, now + TIDY, 0.0
         while True:
-            due = self.now() + LOOK
-            await asyncio.sleep(LOOK)
+            due = self.now() + CHECK_INTERVAL
+            await asyncio.sleep(CHECK_INTERVAL)
             late = max(late, self.now() - due)
             if self.now() - due > MARGIN:
                 # Guards against a process that stood still: what came meanwhile is read before time is up for anyone.
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -26,7 +26,7 @@
 from tansykeel.platform.event_counts import EventCounts
 from tansykeel.platform.event_log import standard_output
 from tansykeel.platform.intake import Reader, Wanted
-from tansykeel.platform.periodic_checks import LOOK, PeriodicChecks
+from tansykeel.platform.periodic_checks import CHECK_INTERVAL, PeriodicChecks
 from tansykeel.platform.request_rules import Invariant, Violations, answer_ends_connection
 from tansykeel.platform.stall_detector import StallDetector
 from tansykeel.platform.start_signals import StartSignals
@@ -60,7 +60,7 @@
         self.loop, limits = loop, config.file.limits
         self.violations = Violations(log)
         self.counts = EventCounts(log if os.environ.get(TRACE_VARIABLE) == "1" else None)
-        self.stalls = StallDetector(LOOK, loop.time())
+        self.stalls = StallDetector(CHECK_INTERVAL, loop.time())
         self.checks = PeriodicChecks(self, log)
         self.reminder = WakeupTimer(self._tick)
         self.stopping = asyncio.Event()
--- a/tests/platform/test_system_calls.py
+++ b/tests/platform/test_system_calls.py
@@ -265,7 +265,7 @@
             begun, rested = await stage.client(), await stage.client()
             assert (await rested.ask(1)).status == 200
             begun.writer.write(b"GET /api/")
-            await asyncio.sleep(periodic_checks.LOOK + 0.1)
+            await asyncio.sleep(periodic_checks.CHECK_INTERVAL + 0.1)
             new = await stage.client()
             await until(lambda: len(stage.gateway.clients.conns) == 3)
             for _ in range(3):
