--- a/tansykeel/platform/connection.py
+++ b/tansykeel/platform/connection.py
@@ -55,7 +55,7 @@
     def found_stale(self, idle_time: float) -> None:
         """A connection that idled for `idle_time` seconds was dead when it was used again."""
 
-    def answered(self, attempt: Attempt, answer: codec.Answer) -> None:
+    def answer_received(self, attempt: Attempt, answer: codec.Answer) -> None:
         """A whole answer came."""
 
     def malformed(self, attempt: Attempt, why: str) -> None:
@@ -173,7 +173,7 @@
         else:
             self.close(StoreConnectionEnd.NOT_REUSABLE)
         if attempt:
-            self.gateway.answered(attempt, answer)
+            self.gateway.answer_received(attempt, answer)
 
     def _give_up(self, why: str) -> None:
         """End over bytes that can't be an answer: what was asked may have run."""
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -175,7 +175,7 @@
         self.note("spoilt answer", store=attempt.store.handle, why=why)
         self.outcome(attempt, How.ERROR)
 
-    def answered(self, attempt: Attempt, answer: codec.Answer) -> None:
+    def answer_received(self, attempt: Attempt, answer: codec.Answer) -> None:
         """Tell the core of a whole answer."""
         fields = answer.fields
         if answer.status == 200:
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -130,14 +130,14 @@
         failure = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         store = Store("s0", 0, lambda request: failure if request.fields[b"x-txn"][-1:] == b"1" else ok())
         async with staged(tmp_path, store, settings=settings) as stage:
-            client, answered = connected(stage), stage.gateway.stores.answered
+            client, answered = connected(stage), stage.gateway.stores.answer_received
 
             def leaves_then(attempt, answer):
                 if answer.status == 500:
                     leave(client, way)
                 answered(attempt, answer)
 
-            stage.gateway.stores.answered = leaves_then
+            stage.gateway.stores.answer_received = leaves_then
             client.send(asking(1))
             await left(stage)
             assert (await (await stage.client()).ask(2)).status == 200
@@ -158,14 +158,14 @@
             for id, client in enumerate(clients, 1):
                 client.send(asking(id))
             await until(lambda: store.got and stage.gateway.core.counts.taken == 20)
-            answered = stage.gateway.stores.answered
+            answered = stage.gateway.stores.answer_received
 
             def leave_then(attempt, answer):
                 while clients:
                     leave(clients.pop(), "closes")
                 answered(attempt, answer)
 
-            stage.gateway.stores.answered = leave_then
+            stage.gateway.stores.answer_received = leave_then
             begun = {request.fields[b"x-txn"] for request in store.got}
             store.writers[0].write(ok())
             await left(stage, 19)  # one has its answer
