--- a/tansykeel/platform/connection.py
+++ b/tansykeel/platform/connection.py
@@ -46,22 +46,22 @@
     def now(self) -> float:
         """Return the time in seconds of the event loop's clock."""
 
-    def after(self, seconds: float, call: Callable[[], None]) -> object:
+    def call_later(self, seconds: float, call: Callable[[], None]) -> object:
         """Call later."""
 
     def answers_exceed_memory(self) -> bool:
         """Whether the answers held take more memory than they may."""
 
-    def found_stale(self, idle_time: float) -> None:
+    def stale_connection_found(self, idle_time: float) -> None:
         """A connection that idled for `idle_time` seconds was dead when it was used again."""
 
     def answer_received(self, attempt: Attempt, answer: codec.Answer) -> None:
         """A whole answer came."""
 
-    def malformed(self, attempt: Attempt, why: str) -> None:
+    def malformed_answer_received(self, attempt: Attempt, why: str) -> None:
         """An answer that can't be read came."""
 
-    def outcome(self, attempt: Attempt, how: How) -> None:
+    def record_outcome(self, attempt: Attempt, how: How) -> None:
         """The attempt ended without an answer."""
 
 
@@ -117,7 +117,7 @@
         fields = b"X-Txn: %s\r\nX-Remaining: %.4f\r\n" % (request.fields[b"x-txn"], seconds_left)
         self.stream.write(codec.request(request.method, request.target, self.address.encode(), fields, request.body))
         if self.stream.unsent:
-            self.gateway.after(WRITE_WITHIN, lambda: self._check_written(attempt))
+            self.gateway.call_later(WRITE_WITHIN, lambda: self._check_written(attempt))
 
     def has_written(self, attempt: Attempt) -> bool:
         """Whether the attempt's last byte was written, so that its store may begin it."""
@@ -129,7 +129,7 @@
             return
         self.attempt = None
         self.close(StoreConnectionEnd.NOT_WRITTEN)
-        self.gateway.outcome(attempt, How.NO_CONNECTION)
+        self.gateway.record_outcome(attempt, How.NO_CONNECTION)
 
     def close(self, reason: StoreConnectionEnd) -> None:
         """Close the connection; an answer that is still owed is given up."""
@@ -180,7 +180,7 @@
         attempt, self.attempt = self.attempt, None
         self.close(StoreConnectionEnd.UNREADABLE)
         if attempt:
-            self.gateway.malformed(attempt, why)
+            self.gateway.malformed_answer_received(attempt, why)
 
     def _ended(self, why: str) -> None:
         # An answer without a length is whole at the orderly end of its connection, never at a reset.
@@ -197,11 +197,11 @@
     def _report_broken(self, attempt: Attempt, request_was_written: bool) -> None:
         nothing_came = self.reader is None or not self.reader.size
         if self.has_answered and nothing_came and self.gateway.now() - self.sent_at < STALE_WINDOW:
-            self.gateway.found_stale(self.idle_before_request)
+            self.gateway.stale_connection_found(self.idle_before_request)
         if request_was_written:
             how = How.RESET
         elif self.has_answered:
             how = How.MOOT  # it never ran, and on a connection used before that says nothing of the store
         else:
             how = How.NO_CONNECTION
-        self.gateway.outcome(attempt, how)
+        self.gateway.record_outcome(attempt, how)
--- a/tansykeel/platform/pool.py
+++ b/tansykeel/platform/pool.py
@@ -27,17 +27,17 @@
     """What a pool asks of its gateway's part for stores, and reports to it."""
 
     connect_within: float  # seconds
-    longest: float  # seconds, the longest deadline
+    longest_deadline: float  # seconds, the longest deadline
     idle_limit: float  # seconds for which a connection may idle and still be used
     counts: EventCounts
 
     def clock(self) -> int:
         """Return the time of the core's clock."""
 
-    def later(self, call: Callable[[], None]) -> None:
+    def call_soon(self, call: Callable[[], None]) -> None:
         """Call in the loop's next turn."""
 
-    def note(self, event: str, **fields: object) -> None:
+    def log(self, event: str, **fields: object) -> None:
         """Write a line of the log."""
 
     def address(self, store: Store) -> str | None:
@@ -46,7 +46,7 @@
     def may_begin(self, attempt: Attempt) -> Verdict:
         """Whether the attempt may be written now."""
 
-    def violation(self, attempt: Attempt) -> bool:
+    def violates_invariant(self, attempt: Attempt) -> bool:
         """Whether writing the attempt now would break an invariant; it is counted then."""
 
     def may_open_connection(self, evict: bool = True) -> bool:
@@ -58,13 +58,13 @@
     def has_waiting(self) -> bool:
         """Whether some pool waits for room."""
 
-    def freed(self) -> None:
+    def connection_closed(self) -> None:
         """A connection was closed."""
 
     def free_descriptors(self) -> None:
         """No descriptor is left."""
 
-    def later_outcome(self, attempt: Attempt, how: How) -> None:
+    def record_outcome_later(self, attempt: Attempt, how: How) -> None:
         """Tell the core in the loop's next turn what became of an attempt."""
 
 
@@ -100,7 +100,7 @@
         it was taken back."""
         connection = attempt.connection
         if self._remove_waiting(attempt):
-            self.gateway.later_outcome(attempt, How.CANCELLED)
+            self.gateway.record_outcome_later(attempt, How.CANCELLED)
             return True
         if isinstance(connection, StoreConnection) and not connection.has_written(attempt):
             self._abandon(connection, attempt)
@@ -118,7 +118,7 @@
     def _abandon(self, connection: StoreConnection, attempt: Attempt) -> None:
         connection.attempt = None
         connection.close(StoreConnectionEnd.GIVEN_UP)
-        self.gateway.later_outcome(attempt, How.CANCELLED)
+        self.gateway.record_outcome_later(attempt, How.CANCELLED)
 
     def list_changed(self) -> None:
         """Guards against what was granted before a drain or a new start was heard of: it is decided anew."""
@@ -126,7 +126,7 @@
         if self.store.state is not State.READY or restarted:
             obsolete, self.waiting = self.waiting, deque()
             for waiting in obsolete:
-                self.gateway.outcome(waiting.attempt, How.MOOT)
+                self.gateway.record_outcome(waiting.attempt, How.MOOT)
         address = self.gateway.address(self.store)
         moved = any(connection.address != address for connection in self.connections)
         if self.store.state is State.GONE or moved:
@@ -141,7 +141,7 @@
         for connection in [one for one in self.idle if now - one.idle_since >= self.gateway.idle_limit]:
             connection.close(StoreConnectionEnd.IDLE)
         # Guards against answers that trickle without an end to tasks that have theirs.
-        oldest = now - self.gateway.longest - ABANDONED_FOR
+        oldest = now - self.gateway.longest_deadline - ABANDONED_FOR
         abandoned = [one for one in self.connections if one.attempt and one.attempt.finished and one.sent_at < oldest]
         for connection in abandoned:
             connection.close(StoreConnectionEnd.ABANDONED)
@@ -172,15 +172,15 @@
             self.connections[connection] = None
 
     def _open_failed(self, error: OSError | ValueError) -> None:
-        self.gateway.note("no connection", store=self.store.handle, why=str(error))
+        self.gateway.log("no connection", store=self.store.handle, why=str(error))
         if isinstance(error, OSError) and error.errno in OUT_OF_FILES:
             # Guards against a store that counts as out of reach because we lack a descriptor.
             if lacks_descriptor(error):
                 self.gateway.free_descriptors()
-            self.gateway.after(PRESSURE_REST, self.open)
+            self.gateway.call_later(PRESSURE_REST, self.open)
         else:
             # What fails on this machine for a moment (no free port, no route) says little of the store.
-            self.gateway.later(lambda: self.connect_failed(retry=True))
+            self.gateway.call_soon(lambda: self.connect_failed(retry=True))
 
     def serve_waiting(self) -> None:
         """Give connections that have cooled down to the attempts that wait; open one where that is too few."""
@@ -221,7 +221,7 @@
             if retry and waiting.failed_connects < CONNECTS_PER_ATTEMPT:
                 self.waiting.appendleft(waiting)
             else:
-                self.gateway.outcome(waiting.attempt, How.NO_CONNECTION)
+                self.gateway.record_outcome(waiting.attempt, How.NO_CONNECTION)
             break
         if self.waiting:
             self.open()
@@ -237,7 +237,7 @@
 
     def answered_twice(self, lateness: float) -> None:
         """Guards against a later second answer of this store that comes once its connection was taken again."""
-        self.gateway.note("second answer", store=self.store.handle, late_ms=round(lateness * 1000, 1))
+        self.gateway.log("second answer", store=self.store.handle, late_ms=round(lateness * 1000, 1))
         self.cool_down = min(max(self.cool_down, lateness * LATENESS_MARGIN), MOST_COOL_DOWN)
 
     def closed(self, connection: StoreConnection, reason: StoreConnectionEnd) -> None:
@@ -248,24 +248,24 @@
         if connection in self.idle:
             self.idle.remove(connection)
         if self.waiting:
-            self.gateway.later(self.open)
-        self.gateway.freed()
+            self.gateway.call_soon(self.open)
+        self.gateway.connection_closed()
 
     # Within
 
     def _send(self, connection: StoreConnection, attempt: Attempt) -> None:
         self._remove_waiting(attempt)
-        if self.gateway.violation(attempt):
+        if self.gateway.violates_invariant(attempt):
             connection.idle_since = self.gateway.now() - MOST_COOL_DOWN
             self.idle.append(connection)
-            self.gateway.later_outcome(attempt, How.MOOT)
+            self.gateway.record_outcome_later(attempt, How.MOOT)
         else:
             connection.send(attempt, self.gateway.clock())
 
     def _serve_after(self, seconds: float) -> None:
         if not self._serve_is_due:
             self._serve_is_due = True
-            self.gateway.after(seconds, self._serve_due)
+            self.gateway.call_later(seconds, self._serve_due)
 
     def _serve_due(self) -> None:
         self._serve_is_due = False
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -36,11 +36,11 @@
         clients: Clients,
         connect_within: float,
         idle_close: float,
-        longest: float,
+        longest_deadline: float,
         clock: Callable[[], int],
         now: Callable[[], float],
-        after: Callable[[float, Callable[[], None]], object],
-        note: Callable[..., None],
+        call_later: Callable[[float, Callable[[], None]], object],
+        log: Callable[..., None],
         list_caught_up: Callable[[], bool],
         violations: Violations,
         counts: EventCounts,
@@ -49,8 +49,8 @@
         self.list_caught_up, self.violations, self.counts = list_caught_up, violations, counts
         self.core, self.clients = core, clients
         self.max_connections, self.max_answer_bytes = max_connections, max_answer_bytes
-        self.connect_within, self.idle_close, self.longest = connect_within, idle_close, longest
-        self.clock, self.now, self.after, self.note = clock, now, after, note
+        self.connect_within, self.idle_close, self.longest_deadline = connect_within, idle_close, longest_deadline
+        self.clock, self.now, self.call_later, self.log = clock, now, call_later, log
         self.pools: dict[Store, Pool] = {}
         self._waiting_for_room: dict[Pool, None] = {}
         self.idle_limit = idle_close * IDLE_PART  # seconds for which a connection may idle and still be used
@@ -106,7 +106,7 @@
         caught_up = client.stream.quiet()
         return attempt_may_begin(attempt, client_caught_up=caught_up, list_caught_up=self.list_caught_up())
 
-    def violation(self, attempt: Attempt) -> bool:
+    def violates_invariant(self, attempt: Attempt) -> bool:
         """Whether writing the attempt now would break an invariant; it is counted then."""
         invariant = violation_of_attempt(attempt, self.core.facts.allowed)
         if invariant:
@@ -140,10 +140,10 @@
         """Whether some pool waits for room."""
         return bool(self._waiting_for_room)
 
-    def freed(self) -> None:
+    def connection_closed(self) -> None:
         """A connection was closed: the pool that has waited longest may open one."""
         if self._waiting_for_room:
-            self.later(self._open_next)
+            self.call_soon(self._open_next)
 
     def _open_next(self) -> None:
         """Let pools that wait open connections while there is room: one may not need it any more."""
@@ -153,27 +153,27 @@
             del self._waiting_for_room[pool]
             pool.open()
 
-    def found_stale(self, idle_time: float) -> None:
+    def stale_connection_found(self, idle_time: float) -> None:
         """Guards against connections that are dropped unseen while they idle: each costs its task an attempt."""
         self.idle_limit = min(self.idle_limit, max(idle_time * STALE_SHRINK, COOL_DOWN))
 
-    def later(self, call: Callable[[], None]) -> None:
+    def call_soon(self, call: Callable[[], None]) -> None:
         """Call in the loop's next turn."""
-        self.after(0, call)
+        self.call_later(0, call)
 
-    def later_outcome(self, attempt: Attempt, how: How) -> None:
+    def record_outcome_later(self, attempt: Attempt, how: How) -> None:
         """Tell the core in the loop's next turn, as it may not be called back while it calls."""
-        self.after(0, lambda: self.outcome(attempt, how))
+        self.call_later(0, lambda: self.record_outcome(attempt, how))
 
-    def outcome(self, attempt: Attempt, how: How) -> None:
+    def record_outcome(self, attempt: Attempt, how: How) -> None:
         """Tell the core what became of an attempt."""
         self.counts.trace("outcome", id=attempt.held.id, number=attempt.number, how=how.value)
         self.core.record_outcome(self.clock(), attempt, how)
 
-    def malformed(self, attempt: Attempt, why: str) -> None:
+    def malformed_answer_received(self, attempt: Attempt, why: str) -> None:
         """An answer came that can't be read: what was asked may have run."""
-        self.note("spoilt answer", store=attempt.store.handle, why=why)
-        self.outcome(attempt, How.ERROR)
+        self.log("spoilt answer", store=attempt.store.handle, why=why)
+        self.record_outcome(attempt, How.ERROR)
 
     def answer_received(self, attempt: Attempt, answer: codec.Answer) -> None:
         """Tell the core of a whole answer."""
