--- a/tests/platform/test_second_answers.py
+++ b/tests/platform/test_second_answers.py
@@ -118,7 +118,7 @@
             await asyncio.sleep(0.04)
             store.writers[0].write(ok(b"%016x" % 1))
             await until(lambda: not connections(stage))
-            assert 0.08 <= pool.cool_down <= pool_module.MOST_COOL_DOWN
+            assert 0.08 <= pool.cool_down <= pool_module.MAX_COOL_DOWN
 
             now = stores.now()
             stores.now = lambda: now
@@ -151,7 +151,7 @@
             await until(lambda: len(connections(stage)) == 1)
             stage.gateway.stores.now = clock
             cool_downs = {pool.store.handle: pool.cool_down for pool in stage.gateway.stores.pools.values()}
-            assert cool_downs == {"s0": pool_module.MOST_COOL_DOWN, "s1": pool_module.COOL_DOWN}
+            assert cool_downs == {"s0": pool_module.MAX_COOL_DOWN, "s1": pool_module.COOL_DOWN}
 
     play(go())
 
--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -117,7 +117,7 @@
             pool = next(iter(stores.pools.values()))
             assert len(pool.connections) == 1
             now = stores.now
-            stores.now = lambda: now() + stores.longest_deadline + pool_module.ABANDONED_FOR
+            stores.now = lambda: now() + stores.longest_deadline + pool_module.ABANDON_AFTER
             pool.check_timeouts(stores.now())
             assert not pool.connections
 
