--- a/tansykeel/platform/connection.py
+++ b/tansykeel/platform/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a store: it carries one request at a time, and the transport never sends one twice."""
+"""One connection to a store: it carries one request at a time, and no request is sent twice at this level."""
 
 from __future__ import annotations
 
@@ -15,60 +15,61 @@
 from tansykeel.transport.sockets import address_of, open_socket
 from tansykeel.transport.stream import Stream
 
-# Seconds after its head in which a request's last byte has to be written: the head tells the time that is left, which
-# may be over by 0.15 s, and a task's deadline is up to 0.1 s before its client's.
+# Seconds after its head within which a request's last byte has to be written. The head states the time left, which may
+# be up to 0.15 s too long when the last byte arrives; a task's deadline is up to 0.1 s before its client's.
 WRITE_WITHIN = 0.15
-STALE_WINDOW = 0.02  # seconds after a request in which a kept connection that was dead already shows it
+STALE_WINDOW = 0.02  # seconds after a request within which the failure of a reused connection means that it was stale
 
 
 class ConnectionPool(Protocol):
-    """What a connection tells the pool that it is part of."""
+    """The events that a connection reports to its pool."""
 
     def connected(self, connection: StoreConnection) -> None:
-        """The connection came up."""
+        """Handle that the connection was established."""
 
     def connect_failed(self, retry: bool) -> None:
-        """A connection did not come up; `retry`: another one may be tried for the same attempt."""
+        """Handle a failed connect; with `retry`, another one may be tried for the same attempt."""
 
     def answered_twice(self, lateness: float) -> None:
-        """Bytes that belong to no request came, `lateness` seconds after a whole answer."""
+        """Handle bytes that belong to no request and arrived `lateness` seconds after a complete answer."""
 
     def released(self, connection: StoreConnection) -> None:
-        """An answer is whole and the connection may carry another request."""
+        """Handle that an answer is complete and the connection may be reused."""
 
     def closed(self, connection: StoreConnection, reason: StoreConnectionEnd) -> None:
-        """The connection was closed, by either side."""
+        """Handle that the connection was closed, by either side."""
 
 
 class ConnectionGateway(Protocol):
-    """What a connection asks of its gateway, and reports to it."""
+    """What a connection needs from `Stores`, and the events that it reports to it."""
 
     def now(self) -> float:
-        """Return the time in seconds of the event loop's clock."""
+        """Return the time of the event loop's clock, in seconds."""
 
     def call_later(self, seconds: float, call: Callable[[], None]) -> object:
-        """Call later."""
+        """Call after a delay."""
 
     def answers_exceed_memory(self) -> bool:
-        """Whether the answers held take more memory than they may."""
+        """Whether the answers in memory exceed their limit."""
 
     def stale_connection_found(self, idle_time: float) -> None:
-        """A connection that idled for `idle_time` seconds was dead when it was used again."""
+        """Handle that a connection turned out to be dead when it was reused after `idle_time` seconds idle."""
 
     def answer_received(self, attempt: Attempt, answer: codec.Answer) -> None:
-        """A whole answer came."""
+        """Handle a complete answer."""
 
     def malformed_answer_received(self, attempt: Attempt, why: str) -> None:
-        """An answer that can't be read came."""
+        """Handle an answer that can't be parsed."""
 
     def record_outcome(self, attempt: Attempt, how: How) -> None:
-        """The attempt ended without an answer."""
+        """Report the outcome of an attempt that ended without an answer."""
 
 
 class StoreConnection:
-    """One connection to a store; raises OSError or ValueError where it can't begin to connect.
+    """One connection to a store.
 
-    `attempt` is the one whose answer is owed, `reader` takes that answer in.
+    `attempt` is the attempt whose answer is pending, `reader` parses that answer. The constructor raises OSError or
+    ValueError if the connect can't be started.
     """
 
     __slots__ = (
@@ -86,26 +87,26 @@
         "connect_deadline",
     )
 
-    def __init__(self, pool: ConnectionPool, gateway: ConnectionGateway, address: str, connect_within: float) -> None:
+    def __init__(self, pool: ConnectionPool, gateway: ConnectionGateway, address: str, connect_timeout: float) -> None:
         self.pool, self.gateway, self.address = pool, gateway, address
         self.reader: AnswerReader | None = None
         self.attempt: Attempt | None = None
         self.is_up = False
         self.has_answered = False
         self.idle_since = gateway.now()
-        self.connect_deadline = self.idle_since + connect_within
-        self.idle_before_request = 0.0  # seconds before the last request
-        self.sent_at = 0.0  # when the last request was written
+        self.connect_deadline = self.idle_since + connect_timeout
+        self.idle_before_request = 0.0  # how many seconds it was idle before the last request
+        self.sent_at = 0.0  # when the last request was passed to the stream
         host = address_of(address)
-        self.stream = Stream(open_socket(host), self._data_received, self._ended)
+        self.stream = Stream(open_socket(host), self._on_data, self._on_end)
         try:
-            self.stream.connect(host, self._connected)
+            self.stream.connect(host, self._on_connected)
         except OSError:
             self.stream.close()
             raise
 
     def send(self, attempt: Attempt, now: int) -> None:
-        """Write the attempt's request; `now` by the core's clock."""
+        """Write the attempt's request; `now` is the time of the core's clock."""
         wanted: Wanted = attempt.held.request
         request = wanted.request
         seconds_left = max(attempt.deadline - now, 0) / TICKS_PER_SECOND
@@ -120,11 +121,14 @@
             self.gateway.call_later(WRITE_WITHIN, lambda: self._check_written(attempt))
 
     def has_written(self, attempt: Attempt) -> bool:
-        """Whether the attempt's last byte was written, so that its store may begin it."""
+        """Whether the attempt's last byte was written, so that the store may have begun it."""
         return self.attempt is not attempt or not self.stream.unsent
 
     def _check_written(self, attempt: Attempt) -> None:
-        """Guards against a request that is whole at its store long after it was told how much time is left."""
+        """Close the connection if the attempt is still not fully written.
+
+        By the time its last byte arrived, less time would be left than its head states.
+        """
         if self.has_written(attempt):
             return
         self.attempt = None
@@ -132,39 +136,41 @@
         self.gateway.record_outcome(attempt, How.NO_CONNECTION)
 
     def close(self, reason: StoreConnectionEnd) -> None:
-        """Close the connection; an answer that is still owed is given up."""
+        """Close the connection; a pending answer is given up."""
         self.stream.close()
         self.pool.closed(self, reason)
 
-    def _connected(self) -> None:
+    def _on_connected(self) -> None:
         self.is_up = True
         self.pool.connected(self)
 
-    def _data_received(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
+        """Parse received data as part of the pending answer; anything else closes the connection."""
         if self.reader is None or self.attempt is None or self.stream.unsent:
-            # What comes unasked, or before the request is whole, belongs to no request that is open.
+            # These bytes are not the answer to a request: none is pending, or it was not fully written yet.
             if self.has_answered:
                 self.pool.answered_twice(self.gateway.now() - self.idle_since)
-            return self._give_up("bytes that answer nothing")
+            return self._reject_answer("data that answers no request")
         self.reader.feed(data)
         if self.reader.size > codec.MOST_BODY and self.gateway.answers_exceed_memory():
-            return self._give_up("no memory for an answer so large")
+            return self._reject_answer("not enough memory for the answer")
         try:
             answer = self.reader.next()
         except Malformed as error:
-            return self._give_up(str(error))
+            return self._reject_answer(str(error))
         if answer is not None:
-            self._answered(answer, reusable=self._reusable_after(answer))
+            self._answer_complete(answer, reusable=self._reusable_after(answer))
 
     def _reusable_after(self, answer: codec.Answer) -> bool:
-        """Whether nothing more is to be expected that a next request would take for its answer."""
+        """Whether the connection may be reused: nothing may follow that could be read as the next request's answer."""
         assert self.attempt is not None and self.reader is not None
-        # Guards against a second answer of a store that was so late that the first was given up: where attempts may
-        # not be cancelled, the connection outlives them.
+        # Where attempts may not be cancelled, the connection outlives an attempt that was given up. A store that answers
+        # so late may also answer twice, so the connection is not reused.
         given_up = self.attempt.finished or self.attempt.held.answered
         return answer.lasts and not self.reader.behind and not given_up
 
-    def _answered(self, answer: codec.Answer, reusable: bool) -> None:
+    def _answer_complete(self, answer: codec.Answer, reusable: bool) -> None:
+        """Release or close the connection, then pass the answer on."""
         attempt, self.attempt = self.attempt, None
         self.reader = None
         self.has_answered = True
@@ -175,33 +181,35 @@
         if attempt:
             self.gateway.answer_received(attempt, answer)
 
-    def _give_up(self, why: str) -> None:
-        """End over bytes that can't be an answer: what was asked may have run."""
+    def _reject_answer(self, why: str) -> None:
+        """Close the connection because of bytes that are not a valid answer; the pending request may have run."""
         attempt, self.attempt = self.attempt, None
         self.close(StoreConnectionEnd.UNREADABLE)
         if attempt:
             self.gateway.malformed_answer_received(attempt, why)
 
-    def _ended(self, why: str) -> None:
-        # An answer without a length is whole at the orderly end of its connection, never at a reset.
+    def _on_end(self, why: str) -> None:
+        """Handle the end of the connection: by the store, by a failure, or because it was never established."""
+        # An answer without a length is complete if the connection ends in order, but not if it is reset.
         if self.stream.finished and self.attempt and self.reader and (answer := self.reader.end()):
-            return self._answered(answer, reusable=False)
+            return self._answer_complete(answer, reusable=False)
         attempt, self.attempt = self.attempt, None
         request_was_written = not self.stream.unsent
         self.close(StoreConnectionEnd.BY_STORE)
         if not self.is_up:
             self.pool.connect_failed(retry=True)
         elif attempt:
-            self._report_broken(attempt, request_was_written)
+            self._report_lost_attempt(attempt, request_was_written)
 
-    def _report_broken(self, attempt: Attempt, request_was_written: bool) -> None:
-        nothing_came = self.reader is None or not self.reader.size
-        if self.has_answered and nothing_came and self.gateway.now() - self.sent_at < STALE_WINDOW:
+    def _report_lost_attempt(self, attempt: Attempt, request_was_written: bool) -> None:
+        """Report the outcome of an attempt whose connection ended before its answer was complete."""
+        nothing_received = self.reader is None or not self.reader.size
+        if self.has_answered and nothing_received and self.gateway.now() - self.sent_at < STALE_WINDOW:
             self.gateway.stale_connection_found(self.idle_before_request)
         if request_was_written:
             how = How.RESET
         elif self.has_answered:
-            how = How.MOOT  # it never ran, and on a connection used before that says nothing of the store
+            how = How.MOOT  # it never ran, and the end of a reused connection says nothing about the store
         else:
             how = How.NO_CONNECTION
         self.gateway.record_outcome(attempt, how)
--- a/tansykeel/platform/pool.py
+++ b/tansykeel/platform/pool.py
@@ -28,7 +28,7 @@
 class PoolGateway(ConnectionGateway, Protocol):
     """What a pool needs from `Stores`, and the events that it reports to it."""
 
-    connect_within: float  # seconds, the connect timeout
+    connect_timeout: float  # seconds
     longest_deadline: float  # seconds, the longest deadline of all task categories
     idle_limit: float  # seconds for which a connection may idle and still be used
     counts: EventCounts
@@ -174,7 +174,7 @@
         address = self.gateway.address(self.store)
         assert address is not None
         try:
-            connection = StoreConnection(self, self.gateway, address, self.gateway.connect_within)
+            connection = StoreConnection(self, self.gateway, address, self.gateway.connect_timeout)
         except (OSError, ValueError) as error:
             self._open_failed(error)
         else:
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -34,7 +34,7 @@
         max_connections: int,
         max_answer_bytes: int,
         clients: Clients,
-        connect_within: float,
+        connect_timeout: float,
         idle_close: float,
         longest_deadline: float,
         clock: Callable[[], int],
@@ -49,7 +49,7 @@
         self.list_caught_up, self.violations, self.counts = list_caught_up, violations, counts
         self.core, self.clients = core, clients
         self.max_connections, self.max_answer_bytes = max_connections, max_answer_bytes
-        self.connect_within, self.idle_close, self.longest_deadline = connect_within, idle_close, longest_deadline
+        self.connect_timeout, self.idle_close, self.longest_deadline = connect_timeout, idle_close, longest_deadline
         self.clock, self.now, self.call_later, self.log = clock, now, call_later, log
         self.pools: dict[Store, Pool] = {}
         self._waiting_for_room: dict[Pool, None] = {}
