--- a/tansykeel/platform/connection.py
+++ b/tansykeel/platform/connection.py
@@ -164,8 +164,8 @@
     def _reusable_after(self, answer: codec.Answer) -> bool:
         """Whether the connection may be reused: nothing may follow that could be read as the next request's answer."""
         assert self.attempt is not None and self.reader is not None
-        # Where attempts may not be cancelled, the connection outlives an attempt that was given up. A store that answers
-        # so late may also answer twice, so the connection is not reused.
+        # Where attempts may not be cancelled, the connection outlives an attempt that was given up. A store that
+        # answers so late may also answer twice, so the connection is not reused.
         given_up = self.attempt.finished or self.attempt.held.answered
         return answer.lasts and not self.reader.behind and not given_up
 
