--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -1,4 +1,4 @@
-"""All connections of one gateway to stores: how many there may be, how long they idle, what becomes of attempts."""
+"""All connections of one gateway to stores: their number, their idle times, and the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -14,19 +14,23 @@
 from tansykeel.platform.pool import COOL_DOWN, Pool
 from tansykeel.platform.request_rules import Verdict, Violations, attempt_may_begin, violation_of_attempt
 
-IDLE_PART = 0.8  # of a store's own limit, after which a connection that idles is closed here
-STALE_SHRINK = 0.5  # an idle connection is trusted for this times the age of one that was found dead
-TRUST_GROWTH = 1.1  # by which that time grows again at each check
-_FIGURE = re.compile(rb"[0-9]{1,6}(?:\.[0-9]{1,6})?")
+IDLE_FRACTION = 0.8  # of the store's own idle timeout, after which the gateway closes an idle connection first
+STALE_FACTOR = 0.5  # once a connection was found stale, the idle limit is its idle time times this
+IDLE_LIMIT_GROWTH = 1.1  # factor by which the idle limit recovers at each periodic check
+_NUMBER = re.compile(rb"[0-9]{1,6}(?:\.[0-9]{1,6})?")
 
 
-def parse_figure(value: bytes | None, default: int) -> int:
-    """Return a figure that an answer tells, rounded; the default where there is none or it can't be read."""
-    return round(float(value)) if value is not None and _FIGURE.fullmatch(value) else default
+def parse_number(value: bytes | None, default: int) -> int:
+    """Return the number in a header field of an answer, rounded; the default if it is missing or not valid."""
+    return round(float(value)) if value is not None and _NUMBER.fullmatch(value) else default
 
 
 class Stores:
-    """All connections to stores, `max_connections` at once; answers hold `max_answer_bytes`, also those not taken."""
+    """The connection pools of all stores.
+
+    At most `max_connections` are open at once. Answers may take `max_answer_bytes` of memory, counting those that
+    clients have not read yet.
+    """
 
     def __init__(
         self,
@@ -35,7 +39,7 @@
         max_answer_bytes: int,
         clients: Clients,
         connect_timeout: float,
-        idle_close: float,
+        store_idle_timeout: float,
         longest_deadline: float,
         clock: Callable[[], int],
         now: Callable[[], float],
@@ -45,17 +49,22 @@
         violations: Violations,
         counts: EventCounts,
     ) -> None:
-        """`list_caught_up`: whether all that discovery has said was read."""
+        """`list_caught_up` tells whether everything that discovery has sent was read."""
         self.list_caught_up, self.violations, self.counts = list_caught_up, violations, counts
         self.core, self.clients = core, clients
         self.max_connections, self.max_answer_bytes = max_connections, max_answer_bytes
-        self.connect_timeout, self.idle_close, self.longest_deadline = connect_timeout, idle_close, longest_deadline
+        self.connect_timeout, self.store_idle_timeout, self.longest_deadline = (
+            connect_timeout,
+            store_idle_timeout,
+            longest_deadline,
+        )
         self.clock, self.now, self.call_later, self.log = clock, now, call_later, log
         self.pools: dict[Store, Pool] = {}
         self._waiting_for_room: dict[Pool, None] = {}
-        self.idle_limit = idle_close * IDLE_PART  # seconds for which a connection may idle and still be used
+        # Seconds for which a connection may be idle and still be reused.
+        self.idle_limit = store_idle_timeout * IDLE_FRACTION
 
-    # What the gateway wants
+    # Calls from the gateway
 
     def hand_off(self, attempt: Attempt) -> None:
         """Send the attempt to its store."""
@@ -66,64 +75,67 @@
         self.pools[attempt.store].hand_off(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give the attempt up, whether it was sent or not."""
+        """Cancel the attempt, whether it was sent or not."""
         self.pools[attempt.store].cancel(attempt)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Take the attempt back if nothing of it was sent."""
+        """Cancel the attempt if its last byte was not written yet."""
         self.pools[attempt.store].withdraw(attempt)
 
     def list_changed(self) -> None:
-        """The list of stores changed."""
+        """Apply a change to the list of stores."""
         for pool in list(self.pools.values()):
             pool.list_changed()
 
     def check_timeouts(self) -> None:
-        """Close what is late or idles too long; called several times a second."""
+        """Close connections that exceed a time limit, and drop pools of stores that are gone; called several times a
+        second."""
         now = self.now()
-        self.idle_limit = min(self.idle_limit * TRUST_GROWTH, self.idle_close * IDLE_PART)
+        self.idle_limit = min(self.idle_limit * IDLE_LIMIT_GROWTH, self.store_idle_timeout * IDLE_FRACTION)
         for store, pool in list(self.pools.items()):
             pool.check_timeouts(now)
             if store.state is State.GONE and not pool.connections and not pool.waiting:
                 del self.pools[store]
 
     def free_descriptors(self) -> None:
-        """No descriptor is left: close what idles."""
+        """Close idle connections because the process is out of file descriptors."""
         self.clients.make_place()
         for pool in self.pools.values():
             pool.close_idle(StoreConnectionEnd.ROOM)
 
-    # What pools ask and report
+    # Calls from pools and connections
 
     def address(self, store: Store) -> str | None:
-        """Return the store's address, None where it is no longer known."""
+        """Return the store's address, or None if it is no longer known."""
         return self.core.addresses.get(store)
 
     def may_begin(self, attempt: Attempt) -> Verdict:
-        """Whether the attempt may be written now: all that its client has said, its end too, and what discovery says of
-        stores has to be read first."""
+        """Return whether the attempt may be written now, later or never.
+
+        Everything that its client has sent, end of stream included, and what discovery has sent has to be read first.
+        """
         client: Client = attempt.held.client
-        caught_up = client.stream.quiet()
-        return attempt_may_begin(attempt, client_caught_up=caught_up, list_caught_up=self.list_caught_up())
+        client_caught_up = client.stream.quiet()
+        return attempt_may_begin(attempt, client_caught_up=client_caught_up, list_caught_up=self.list_caught_up())
 
     def violates_invariant(self, attempt: Attempt) -> bool:
-        """Whether writing the attempt now would break an invariant; it is counted then."""
+        """Whether writing the attempt now would break an invariant; if so, the violation is counted."""
         invariant = violation_of_attempt(attempt, self.core.facts.allowed)
         if invariant:
             self.violations.report(invariant, id=attempt.held.id, attempt=attempt.number, store=attempt.store.handle)
         return invariant is not None
 
     def held_bytes(self) -> int:
-        """Return the bytes of answers that are not whole, or that clients have not taken yet."""
+        """Return the size of all answers that are incomplete or that clients have not read yet."""
         connections = (connection for pool in self.pools.values() for connection in pool.connections)
         return self.clients.unsent() + sum(connection.reader.size for connection in connections if connection.reader)
 
     def answers_exceed_memory(self) -> bool:
-        """Whether the answers held take more memory than they may."""
+        """Whether the answers in memory exceed `max_answer_bytes`."""
         return self.held_bytes() > self.max_answer_bytes
 
     def may_open_connection(self, evict: bool = True) -> bool:
-        """Whether another connection may be opened; to make room the one that idles longest is closed."""
+        """Whether another connection may be opened; with `evict`, the one idle for longest is closed to allow it."""
         if sum(len(pool.connections) for pool in self.pools.values()) < self.max_connections:
             return True
         idle = [connection for pool in self.pools.values() for connection in pool.idle]
@@ -137,16 +149,19 @@
         self._waiting_for_room[pool] = None
 
     def has_waiting(self) -> bool:
-        """Whether some pool waits for room."""
+        """Whether some pool waits until it may open a connection."""
         return bool(self._waiting_for_room)
 
     def connection_closed(self) -> None:
-        """A connection was closed: the pool that has waited longest may open one."""
+        """Let the pool that has waited longest open a connection in place of one that was closed."""
         if self._waiting_for_room:
             self.call_soon(self._open_next)
 
     def _open_next(self) -> None:
-        """Let pools that wait open connections while there is room: one may not need it any more."""
+        """Let waiting pools open connections while that is allowed.
+
+        All of them are tried in turn, as a pool may no longer need a connection.
+        """
         for pool in list(self._waiting_for_room):
             if not self.may_open_connection(evict=False):
                 return
@@ -154,29 +169,32 @@
             pool.open()
 
     def stale_connection_found(self, idle_time: float) -> None:
-        """Guards against connections that are dropped unseen while they idle: each costs its task an attempt."""
-        self.idle_limit = min(self.idle_limit, max(idle_time * STALE_SHRINK, COOL_DOWN))
+        """Lower the idle limit after a connection was found dead when it was reused.
+
+        Idle connections can be dropped without notice, and each of them costs its task an attempt.
+        """
+        self.idle_limit = min(self.idle_limit, max(idle_time * STALE_FACTOR, COOL_DOWN))
 
     def call_soon(self, call: Callable[[], None]) -> None:
-        """Call in the loop's next turn."""
+        """Call in the next iteration of the event loop."""
         self.call_later(0, call)
 
     def record_outcome_later(self, attempt: Attempt, how: How) -> None:
-        """Tell the core in the loop's next turn, as it may not be called back while it calls."""
+        """Report an outcome in the next iteration of the event loop: the core must not be called while it calls us."""
         self.call_later(0, lambda: self.record_outcome(attempt, how))
 
     def record_outcome(self, attempt: Attempt, how: How) -> None:
-        """Tell the core what became of an attempt."""
+        """Report the outcome of an attempt to the core."""
         self.counts.trace("outcome", id=attempt.held.id, number=attempt.number, how=how.value)
         self.core.record_outcome(self.clock(), attempt, how)
 
     def malformed_answer_received(self, attempt: Attempt, why: str) -> None:
-        """An answer came that can't be read: what was asked may have run."""
+        """Log an answer that can't be parsed and report an error; the request may have run."""
         self.log("spoilt answer", store=attempt.store.handle, why=why)
         self.record_outcome(attempt, How.ERROR)
 
     def answer_received(self, attempt: Attempt, answer: codec.Answer) -> None:
-        """Tell the core of a whole answer."""
+        """Report a complete answer to the core."""
         fields = answer.fields
         if answer.status == 200:
             how = How.DELIVERED
@@ -185,6 +203,6 @@
         else:
             how = How.ERROR
         self.counts.trace("outcome", id=attempt.held.id, number=attempt.number, how=how.value)
-        used = parse_figure(fields.get(b"x-meter"), -1)
-        elsewhere = parse_figure(fields.get(b"x-delta"), 0)
+        used = parse_number(fields.get(b"x-meter"), -1)
+        elsewhere = parse_number(fields.get(b"x-delta"), 0)
         self.core.record_outcome(self.clock(), attempt, how, body=[answer.body], used=used, elsewhere=elsewhere)
