--- a/tansykeel/platform/discovery.py
+++ b/tansykeel/platform/discovery.py
@@ -1,7 +1,10 @@
-"""Follows discovery: one watch from the version that is known. When a failed one is tried again the module says.
+"""Follows the list of stores that discovery publishes, by a watch that starts at the known version.
 
-What discovery has counts as told 6 s after it could be reached, whatever came meanwhile, so one clock runs for the
-last word: a whole object, or an empty line between two. A head, part of an object, or empty lines within one are none.
+The decision module decides when a failed watch is opened again.
+
+A gateway counts as informed of what discovery has 6 s after discovery could be reached, whatever it received in the
+meantime. So silence is measured from the last message alone: a complete object, or an empty line between two objects.
+A response head, part of an object, or empty lines within one are not messages.
 """
 
 from __future__ import annotations
@@ -24,17 +27,26 @@
 from tansykeel.transport.sockets import address_of, lacks_descriptor, open_socket
 from tansykeel.transport.stream import Stream
 
-SILENT = 2.5  # seconds without a word (a line comes each 2 s) after which a second watch is opened beside the first
-AGAIN = 1.0  # seconds for the first byte of a watch, and for the first word of one beside a silent one
-MOST_WATCHES = 4  # at once
-LONGEST_WAIT = 12.0  # seconds for which the oldest watch without a word is kept though others are opened
-MOST_OBJECT = 4 << 20  # bytes of one object
-MICROSECONDS = 1_000_000  # in a second
+# Seconds without a message after which another watch is opened beside the current one. Discovery sends a line every
+# 2 s.
+SILENCE_TIMEOUT = 2.5
+# Seconds that a new watch has for its first byte, and for its first message while discovery counts as silent, before
+# another one is opened.
+FIRST_BYTE_TIMEOUT = 1.0
+MAX_WATCHES = 4  # open at once
+FIRST_MESSAGE_TIMEOUT = 12.0  # seconds for which the oldest watch without a message is kept while others are opened
+MAX_OBJECT_BYTES = 4 << 20
+MICROSECONDS_PER_SECOND = 1_000_000
 _decode = msgspec.json.Decoder(Members).decode
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
+    """A store in the form that the core takes (`StoreRow`).
+
+    `boot` identifies the store's start, `age` is the time since then in microseconds; 0 is long ago.
+    """
+
     name: str
     address: str
     zone: int
@@ -46,6 +58,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
+    """The list of stores if `full`, else a change to it, in the form that the core takes (`ListUpdate`)."""
+
     full: bool
     version: int
     rows: list[Row]
@@ -53,48 +67,52 @@
 
 
 class RowReader:
-    """Turns members of discovery's list into rows. Reads the wall clock, which may be stepped: see `start_age`."""
+    """Converts members of discovery's list to rows. It reads the wall clock, which may be stepped: see `start_age`."""
 
     def __init__(self, zones: dict[str, int]) -> None:
         self.zones = zones
-        self.start_age = StartAge(time.time(), time.monotonic())  # wall clock: a later step shows against this reading
+        # The first reading of both clocks, which shows later steps of the wall clock.
+        self.start_age = StartAge(time.time(), time.monotonic())
 
     def row(self, member: Member, known_without: float | None) -> Row:
-        """Return the member's row. `known_without`: when the list was last known to be without this change."""
+        """Return the member's row; `known_without` is the monotonic time when the list was last known not to have this
+        change, None if it never was."""
         since = max(int(member.up_since_ms), 0)
         age = 0
         if since:
-            # wall clock: starts are told by it; of this and the first reading the younger age counts
+            # Starts are reported in wall-clock time; of the ages by this reading and the first one, the younger counts.
             seconds = self.start_age.age(since, time.time(), time.monotonic(), known_without)
-            age = max(int(seconds * MICROSECONDS), MICROSECONDS_PER_TICK)
+            age = max(int(seconds * MICROSECONDS_PER_SECOND), MICROSECONDS_PER_TICK)
         zone = self.zones.get(member.locality, 0)
         return Row(member.id, member.host_port, zone, member.cell, PHASES[member.phase], since, age)
 
 
 class Watch:
-    """One connection on which discovery tells what changes."""
+    """One connection on which discovery sends changes to the list, from version `index` on."""
 
-    def __init__(self, owner: Discovery, address: str, index: int) -> None:
-        self.owner, self.index = owner, index
+    def __init__(self, discovery: Discovery, address: str, index: int) -> None:
+        self.discovery, self.index = discovery, index
         self.reader = codec.StreamReader()
-        self.objects = Objects(MOST_OBJECT)
-        self.address, self.opened = address, owner.now()
-        self.spoke = self.told = False  # whether a byte came, and a word
+        self.objects = Objects(MAX_OBJECT_BYTES)
+        self.address, self.opened_at = address, discovery.now()
+        self.got_data = self.got_message = False  # whether a byte, and a message, has arrived
         host = address_of(address)
-        self.stream = Stream(open_socket(host), self._data, self._ended)
+        self.stream = Stream(open_socket(host), self._on_data, self._on_end)
         try:
-            self.stream.connect(host, self._up)
+            self.stream.connect(host, self._on_connected)
         except OSError:
             self.stream.close()
             raise
         self.host = address.encode()
 
-    def _up(self) -> None:
+    def _on_connected(self) -> None:
+        """Send the request for the stream of changes."""
         target = b"/catalog/members?stream=1&index=%d" % self.index
         self.stream.write(codec.request(b"GET", target, self.host))
 
-    def _data(self, data: bytes) -> None:
-        self.spoke = True
+    def _on_data(self, data: bytes) -> None:
+        """Pass complete objects and other messages on; anything that can't be parsed ends the watch."""
+        self.got_data = True
         self.reader.feed(data)
         try:
             part = self.reader.take()
@@ -104,22 +122,22 @@
                 raise codec.Malformed(f"status {part[0]}")
             for text in self.objects.feed(part[1]):
                 if not self.stream.closed:
-                    self.owner.told(self, _decode(text))
+                    self.discovery.update_received(self, _decode(text))
             if part[1] and not self.objects.open and not self.stream.closed:
-                self.owner.word(self)
+                self.discovery.message_received(self)
         except (msgspec.MsgspecError, ValueError) as error:
             self.stream.close()
-            return self._ended(str(error), error.do if isinstance(error, Problem) else "")
+            return self._on_end(str(error), error.do if isinstance(error, Problem) else "")
         if self.reader.ended:
             self.stream.close()
-            self._ended("the watch ended")
+            self._on_end("the watch ended")
 
-    def _ended(self, why: str, do: str = "") -> None:
-        self.owner.ended(self, why, do)
+    def _on_end(self, why: str, do: str = "") -> None:
+        self.discovery.watch_ended(self, why, do)
 
 
 class Discovery:
-    """`changed()` after each change that the core was told of."""
+    """Keeps the core informed of the list of stores; calls `changed` after each change to it."""
 
     def __init__(
         self,
@@ -131,76 +149,91 @@
         now: Callable[[], float],
         changed: Callable[[], None],
         free_descriptors: Callable[[], None],
-        note: Callable[..., Any],
+        log: Callable[..., Any],
     ) -> None:
         self.core, self.address, self.rows, self.revision = core, address, rows, revision
-        self.clock, self.now, self.changed, self.free_descriptors, self.note = (
+        self.clock, self.now, self.changed, self.free_descriptors, self.log = (
             clock,
             now,
             changed,
             free_descriptors,
-            note,
+            log,
         )
-        self.watches: list[Watch] = []  # the newest last; an older one goes once a newer one has a word
-        self.heard = now()  # when the last word came
-        self.last_word: float | None = None  # monotonic time of the last word of any watch, None before the first
-        self.moved = False  # the address changed, and nothing was told there yet
-        self.first_list = asyncio.Event()  # a list was told
-        self.over = False
+        self.watches: list[Watch] = []  # newest last; once one has received a message, older ones are closed
+        self.silent_since = (
+            now()
+        )  # by `now`: the last message from the current address, or the first attempt to watch it
+        self.last_message_at: float | None = None  # time.monotonic() of the last message of any watch
+        self.address_changed = False  # whether it changed and no update was received from the new one yet
+        self.first_list = asyncio.Event()  # set once an update was received
+        self.stopped = False
 
     def ensure_watch(self) -> None:
-        """Watch, if nothing is being watched at the address."""
-        if not self._here() and not self.over:
+        """Open a watch unless one is open at the current address."""
+        if not self._current_watches() and not self.stopped:
             self._open()
 
     def change_address(self, address: str) -> None:
-        """Another address from now on. What spoke at the old one is let go once the new one has a word."""
-        if address == self.address or self.over:
+        """Use another address from now on. A watch of the old one that has received a message stays open until a watch
+        of the new one has."""
+        if address == self.address or self.stopped:
             return
-        self.note("discovery moves", to=address)
-        self.address, self.moved, self.heard = address, True, self.now()
-        for watch in [watch for watch in self.watches if not watch.told]:
-            self._let_go(watch)
+        self.log("discovery moves", to=address)
+        self.address, self.address_changed, self.silent_since = address, True, self.now()
+        for watch in [watch for watch in self.watches if not watch.got_message]:
+            self._close(watch)
         self._open()
 
     def check_timeouts(self) -> None:
-        """Guards against a watch that fell silent without an end, wherever in an object it did, that trickles, or that
-        never came up: another is opened beside it, and one more where that has no word either."""
-        now, here = self.now(), self._here()
-        if here and now - here[-1].opened > AGAIN and (not here[-1].spoke or now - self.heard > SILENT):
-            self.note("discovery is silent")
+        """Open another watch beside the newest one if that is silent, and one more if the new one stays silent too.
+
+        A watch can fall silent without an end, anywhere in an object, send single bytes without completing one, or
+        never connect.
+        """
+        now, current = self.now(), self._current_watches()
+        if (
+            current
+            and now - current[-1].opened_at > FIRST_BYTE_TIMEOUT
+            and (not current[-1].got_data or now - self.silent_since > SILENCE_TIMEOUT)
+        ):
+            self.log("discovery is silent")
             self._open()
 
     def caught_up(self) -> bool:
-        """Whether all that discovery has said was read."""
+        """Whether everything that discovery has sent was read."""
         return all(watch.stream.quiet() for watch in self.watches)
 
-    def word(self, watch: Watch) -> None:
-        """It lives: what was opened before it is not needed any more."""
-        watch.told = True
-        self.last_word = time.monotonic()
+    def message_received(self, watch: Watch) -> None:
+        """Record a message of a watch. If it is of the current address, close all watches opened before it."""
+        watch.got_message = True
+        self.last_message_at = time.monotonic()
         if watch.address == self.address:
-            self.heard = self.now()
+            self.silent_since = self.now()
             for older in self.watches[: self.watches.index(watch)]:
-                self._let_go(older)
-
-    def told(self, watch: Watch, members: Members) -> None:
-        known_without = self.last_word
-        self.word(watch)
-        first = self.moved and watch.address == self.address
-        anew = members.revision < self.revision
-        if anew and not first:
+                self._close(older)
+
+    def update_received(self, watch: Watch, members: Members) -> None:
+        """Apply an update that a watch has received.
+
+        One older than the known version is ignored, unless it is the first from a new address.
+        """
+        known_without = self.last_message_at
+        self.message_received(watch)
+        first_update = self.address_changed and watch.address == self.address
+        versions_restarted = members.revision < self.revision
+        if versions_restarted and not first_update:
             return
-        if anew and watch.index and not members.complete:
-            # Guards against a discovery that counts from another beginning: what changed since our count is not all.
-            self._let_go(watch)
+        if versions_restarted and watch.index and not members.complete:
+            # Discovery at the new address counts versions from another start, so a change since our version is not
+            # complete: watch from the beginning.
+            self._close(watch)
             return self._open(index=0)
-        self.moved = self.moved and not first
+        self.address_changed = self.address_changed and not first_update
         self.revision = members.revision
         rows = [self.rows.row(member, known_without) for member in members.members]
-        self.core.apply_list_update(self.clock(), Update(members.complete, members.revision, rows), anew)
+        self.core.apply_list_update(self.clock(), Update(members.complete, members.revision, rows), versions_restarted)
         if rows or members.complete:
-            self.note(
+            self.log(
                 "list",
                 revision=members.revision,
                 complete=members.complete,
@@ -209,48 +242,56 @@
         self.first_list.set()
         self.changed()
 
-    def ended(self, watch: Watch, why: str, do: str = "") -> None:
+    def watch_ended(self, watch: Watch, why: str, do: str = "") -> None:
+        """Drop a watch that ended; if it was the last one, report to the core that the list is unavailable."""
         if watch in self.watches:
             self.watches.remove(watch)
-        self.note("watch ended", why=why, **({"do": do} if do else {}))
-        self._lost()
+        self.log("watch ended", why=why, **({"do": do} if do else {}))
+        self._report_if_unavailable()
 
     def stop(self) -> None:
-        self.over = True
+        """Close all watches and open no more."""
+        self.stopped = True
         for watch in list(self.watches):
-            self._let_go(watch)
+            self._close(watch)
 
-    def _here(self) -> list[Watch]:
-        """The watches at the address that counts; what another still tells is no sign that this one lives."""
+    def _current_watches(self) -> list[Watch]:
+        """Return the watches of the current address; one of another address does not show that this address works."""
         return [watch for watch in self.watches if watch.address == self.address]
 
-    def _let_go(self, watch: Watch) -> None:
+    def _close(self, watch: Watch) -> None:
+        """Close and drop a watch."""
         watch.stream.close()
         self.watches.remove(watch)
 
-    def _lost(self) -> None:
-        if not self._here() and not self.over:
+    def _report_if_unavailable(self) -> None:
+        """Report to the core that the list is unavailable if no watch is open at the current address."""
+        if not self._current_watches() and not self.stopped:
             self.core.list_unavailable(self.clock())
 
     def _open(self, index: int | None = None) -> None:
-        if not self._here():
-            self.heard = self.now()
+        """Open a watch from version `index`, by default the known one; if there are too many then, close another."""
+        if not self._current_watches():
+            self.silent_since = self.now()
         try:
             self.watches.append(Watch(self, self.address, self.revision if index is None else index))
         except OSError as error:
-            self.note("no watch", why=error.strerror or type(error).__name__)
+            self.log("no watch", why=error.strerror or type(error).__name__)
             if lacks_descriptor(error):
                 self.free_descriptors()
-            return self._lost()
-        if len(self.watches) > MOST_WATCHES:
-            self._let_go(self._least_promising())
-
-    def _least_promising(self) -> Watch:
-        """Return the watch that makes room for another. Guards against a discovery that is slow or crowded: of those
-        that wait for their first word the one opened first is kept for a while, and the next one goes."""
-        waiting = [watch for watch in self._here()[:-1] if not watch.told]
+            return self._report_if_unavailable()
+        if len(self.watches) > MAX_WATCHES:
+            self._close(self._watch_to_close())
+
+    def _watch_to_close(self) -> Watch:
+        """Return the watch to close when too many are open.
+
+        If discovery is slow or overloaded, a watch needs time until its first message. So of the watches without one,
+        the oldest is kept until FIRST_MESSAGE_TIMEOUT and the next one is closed.
+        """
+        waiting = [watch for watch in self._current_watches()[:-1] if not watch.got_message]
         if not waiting:
             return self.watches[0]
-        if len(waiting) > 1 and self.now() - waiting[0].opened <= LONGEST_WAIT:
+        if len(waiting) > 1 and self.now() - waiting[0].opened_at <= FIRST_MESSAGE_TIMEOUT:
             return waiting[1]
         return waiting[0]
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -126,8 +126,8 @@
             discovery, core = stage.gateway.discovery, stage.gateway.core
             clock = [discovery.now()]
             discovery.now = lambda: clock[0]
-            await until(lambda: list_.asked and (discovery.watches[0].spoke or mute == "connect"))
-            begun = discovery.heard
+            await until(lambda: list_.asked and (discovery.watches[0].got_data or mute == "connect"))
+            begun = discovery.silent_since
             while core.list_version < 5:
                 clock[0] += 0.25
                 assert clock[0] <= begun + 6.0
@@ -172,13 +172,13 @@
 @pytest.mark.parametrize("mute, drip", [("object", b" "), ("object", b"\n"), ("head", b"{"), ("empty", b'{"a": 1')])
 def test_what_trickles_and_never_is_whole_is_no_word(tmp_path, monkeypatch, mute, drip):
     """Bytes come in each quarter of a second of the clock that is moved by hand, and no object ends."""
-    came, data = [], Watch._data
+    came, data = [], Watch._on_data
 
     def counted(watch, text):
         came.append(text)
         data(watch, text)
 
-    monkeypatch.setattr(Watch, "_data", counted)
+    monkeypatch.setattr(Watch, "_on_data", counted)
 
     async def go():
         list_ = List(mute=[mute])
@@ -186,8 +186,8 @@
             discovery, core = stage.gateway.discovery, stage.gateway.core
             clock = [discovery.now()]
             discovery.now = lambda: clock[0]
-            await until(lambda: list_.asked and discovery.watches[0].spoke)
-            begun = discovery.heard
+            await until(lambda: list_.asked and discovery.watches[0].got_data)
+            begun = discovery.silent_since
             while core.list_version < 5:
                 clock[0] += 0.25
                 assert clock[0] <= begun + 6.0
@@ -279,7 +279,7 @@
             last.revision, last.rows = 12, stage.list.rows
             moving(stage, between, tmp_path)
             connecting = discovery.watches[-1]
-            assert not connecting.spoke
+            assert not connecting.got_data
             moving(stage, last, tmp_path)
             moving(stage, last, tmp_path)
             assert connecting.stream.closed and len(discovery.watches) == 2
