--- a/tansykeel/platform/discovery.py
+++ b/tansykeel/platform/discovery.py
@@ -22,7 +22,7 @@
 from tansykeel.errors import Problem
 from tansykeel.http1 import codec
 from tansykeel.platform.config import PHASES, Member, Members
-from tansykeel.platform.objects import Objects
+from tansykeel.platform.objects import ObjectSplitter
 from tansykeel.platform.start_age import StartAge
 from tansykeel.transport.sockets import address_of, lacks_descriptor, open_socket
 from tansykeel.transport.stream import Stream
@@ -93,7 +93,7 @@
     def __init__(self, discovery: Discovery, address: str, index: int) -> None:
         self.discovery, self.index = discovery, index
         self.reader = codec.StreamReader()
-        self.objects = Objects(MAX_OBJECT_BYTES)
+        self.splitter = ObjectSplitter(MAX_OBJECT_BYTES)
         self.address, self.opened_at = address, discovery.now()
         self.got_data = self.got_message = False  # whether a byte, and a message, has arrived
         host = address_of(address)
@@ -120,10 +120,10 @@
                 return
             if part[0] != 200:
                 raise codec.Malformed(f"status {part[0]}")
-            for text in self.objects.feed(part[1]):
+            for text in self.splitter.feed(part[1]):
                 if not self.stream.closed:
                     self.discovery.update_received(self, _decode(text))
-            if part[1] and not self.objects.open and not self.stream.closed:
+            if part[1] and not self.splitter.open and not self.stream.closed:
                 self.discovery.message_received(self)
         except (msgspec.MsgspecError, ValueError) as error:
             self.stream.close()
--- a/tansykeel/platform/objects.py
+++ b/tansykeel/platform/objects.py
@@ -1,7 +1,8 @@
-"""Whole JSON objects out of what discovery sends, wherever its line ends fall: one a line, indented, several a line.
+"""Splits the data that discovery sends into JSON objects, whatever the line breaks: one per line, indented, or several
+per line.
 
-Own code: the readers at hand either want a whole text (msgspec) or build slow generic values event by event (ijson).
-Here only the ends of objects are looked for; what an object says is read by msgspec.
+This is our own code because the available parsers either need a complete text (msgspec) or slowly build generic values
+event by event (ijson). Only the ends of objects are searched here; msgspec decodes their contents.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 from tansykeel.errors import Problem
 
-# A string, whole or as far as it has come (then without its last quote), or a brace outside of strings.
+# A string, complete or as far as it was received (then without its closing quote), or a brace outside strings.
 _PART = re.compile(rb'"(?:[^"\\]|\\.)*+("?)|[{}]', re.DOTALL)
 
 
@@ -20,45 +21,45 @@
     advice = "look at what the agent at the address of discovery says; the gateway opens another watch"
 
 
-class Objects:
-    """Of one stream. `most`: bytes of one object. Not to be used on after it has raised."""
+class ObjectSplitter:
+    """Splits one stream into objects of at most `max_bytes` each. It must not be used after it has raised."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self._rest = bytearray()  # from the first byte of the object that is open
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self._buffer = bytearray()  # what was received from the first byte of the incomplete object on
         self._scanned = self._depth = 0
 
     @property
     def open(self) -> bool:
-        """Whether one has begun and is not whole."""
-        return bool(self._rest)
+        """Whether an object has begun and is incomplete."""
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The objects that are whole with this. Raises Unfit."""
-        self._rest += data
+        """Return the objects that `data` completes. Raises Unfit."""
+        self._buffer += data
         found: list[bytes] = []
-        first, scanned = 0, len(self._rest)
-        for part in _PART.finditer(self._rest, self._scanned):
+        first, scanned = 0, len(self._buffer)
+        for part in _PART.finditer(self._buffer, self._scanned):
             if part[1] is not None:
                 if not part[1]:
-                    scanned = part.start()  # looked at again once more of it is here
+                    scanned = part.start()  # scanned again once more of it was received
                     break
             elif part[0] == b"{":
                 self._depth += 1
             else:
                 self._depth -= 1
                 if self._depth < 0:
-                    raise Unfit("an object ends that did not begin")
+                    raise Unfit("closing brace of an object that did not begin")
                 if not self._depth:
-                    found.append(bytes(self._rest[first : part.end()]))
+                    found.append(bytes(self._buffer[first : part.end()]))
                     first = part.end()
-        del self._rest[:first]
+        del self._buffer[:first]
         self._scanned = scanned - first
         if not self._depth:
-            if self._rest.strip():
+            if self._buffer.strip():
                 raise Unfit("text that belongs to no object")
-            self._rest.clear()
+            self._buffer.clear()
             self._scanned = 0
-        elif len(self._rest) > self.most:
-            raise Unfit(f"an object of more than {self.most} bytes")
+        elif len(self._buffer) > self.max_bytes:
+            raise Unfit(f"an object of more than {self.max_bytes} bytes")
         return found
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -10,7 +10,7 @@
 
 from tansykeel.platform import discovery as discovery_module
 from tansykeel.platform.discovery import Watch
-from tansykeel.platform.objects import Objects, Unfit
+from tansykeel.platform.objects import ObjectSplitter, Unfit
 
 
 def test_the_list_is_followed_in_pieces_and_older_versions_are_not_believed(tmp_path):
@@ -71,7 +71,7 @@
 )
 @pytest.mark.parametrize("size", [1, 2, 3, 1000])
 def test_objects_are_found_wherever_lines_and_pieces_end(text, size):
-    objects, found = Objects(200), []
+    objects, found = ObjectSplitter(200), []
     for at in range(0, len(text), size):
         found += objects.feed(text.encode()[at : at + size])
     assert [json.loads(one) for one in found] == OBJECTS
@@ -90,7 +90,7 @@
 )
 def test_what_is_no_sequence_of_objects_is_refused(text, says):
     with pytest.raises(Unfit, match=says):
-        Objects(200).feed(text)
+        ObjectSplitter(200).feed(text)
 
 
 @pytest.mark.parametrize("indent", [2, "\t"])
