--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -115,8 +115,8 @@
         Everything that its client has sent, end of stream included, and what discovery has sent has to be read first.
         """
         client: Client = attempt.held.client
-        client_caught_up = client.stream.quiet()
-        return attempt_may_begin(attempt, client_caught_up=client_caught_up, list_caught_up=self.list_caught_up())
+        caught_up = client.stream.quiet()
+        return attempt_may_begin(attempt, client_caught_up=caught_up, list_caught_up=self.list_caught_up())
 
     def violates_invariant(self, attempt: Attempt) -> bool:
         """Whether writing the attempt now would break an invariant; if so, the violation is counted."""
