--- a/tansykeel/platform/periodic_checks.py
+++ b/tansykeel/platform/periodic_checks.py
@@ -1,4 +1,5 @@
-"""What a gateway looks at several times a second: what idles, stalls, is overdue; figures for the log."""
+"""The checks that a gateway runs several times a second (idle or stalled connections, silent discovery, overdue
+tasks), and the figures that it logs."""
 
 from __future__ import annotations
 
@@ -18,14 +19,14 @@
 from tansykeel.platform.stall_detector import MARGIN, StallDetector
 from tansykeel.platform.stores import Stores
 
-CHECK_INTERVAL = 0.25  # seconds between looks at what idles, stalls or fell silent
-READ_FIRST = 0.001  # seconds in which the loop reads what has come
-REPORT = 10.0  # seconds between lines of figures in the log
-TIDY = 5.0  # seconds between collections of cycles
+CHECK_INTERVAL = 0.25  # seconds between rounds of checks
+READ_DELAY = 0.001  # seconds in which the event loop reads pending input after a stall
+REPORT_INTERVAL = 10.0  # seconds between log lines with figures
+COLLECT_INTERVAL = 5.0  # seconds between garbage collections
 
 
 class CheckedGateway(Protocol):
-    """What is looked at of a gateway."""
+    """The parts of a gateway that are checked or reported on."""
 
     loop: asyncio.AbstractEventLoop
     core: Core
@@ -38,66 +39,67 @@
 
     @property
     def discovery(self) -> Discovery:
-        """What follows discovery's list."""
+        """What follows discovery's list of stores."""
 
     def failed(self, message: str, error: BaseException | None) -> None:
-        """Log a failure within the gateway with its cause."""
+        """Log an internal failure of the gateway with its cause."""
 
 
 class PeriodicChecks:
-    """The looks of one gateway. A look that fails is logged, and the others and the next ones go on."""
+    """The periodic checks of one gateway. A check that fails is logged; all others still run."""
 
     def __init__(self, gateway: CheckedGateway, log: Callable[..., None]) -> None:
         self.gateway, self.log = gateway, log
 
     def now(self) -> float:
-        """Return the time in seconds of the event loop's clock."""
+        """Return the time of the event loop's clock, in seconds."""
         return self.gateway.loop.time()
 
     async def run(self) -> None:
-        """Check until cancelled."""
+        """Run the checks until cancelled."""
         gateway, now = self.gateway, self.now()
-        report, tidy, late = now + REPORT, now + TIDY, 0.0
+        report_at, collect_at, max_lateness = now + REPORT_INTERVAL, now + COLLECT_INTERVAL, 0.0
         while True:
             due = self.now() + CHECK_INTERVAL
             await asyncio.sleep(CHECK_INTERVAL)
-            late = max(late, self.now() - due)
+            max_lateness = max(max_lateness, self.now() - due)
             if self.now() - due > MARGIN:
-                # Guards against a process that stood still: what came meanwhile is read before time is up for anyone.
-                await asyncio.sleep(READ_FIRST)
+                # The process was stalled: let the event loop read what arrived meanwhile before anything times out.
+                await asyncio.sleep(READ_DELAY)
             self.gateway.stalls.beat(self.now())
-            for look in (
+            for check in (
                 gateway.clients.look,
                 gateway.stores.check_timeouts,
                 gateway.discovery.check_timeouts,
                 self._answer_overdue,
             ):
-                self._guarded(look)
-            if self.now() >= tidy:
-                # Guards against tasks and connections that ended and hold each other: the interpreter collects old
-                # ones only once they make up a quarter of all objects, which are some ten megabytes.
+                self._run_check(check)
+            if self.now() >= collect_at:
+                # Ended tasks and connections may refer to each other. The interpreter collects old objects only once
+                # they make up a quarter of all objects, which would be about ten megabytes.
                 gc.collect()
-                tidy = self.now() + TIDY
-            if self.now() >= report:
-                self.report(late)
-                report, late = self.now() + REPORT, 0.0
+                collect_at = self.now() + COLLECT_INTERVAL
+            if self.now() >= report_at:
+                self.report(max_lateness)
+                report_at, max_lateness = self.now() + REPORT_INTERVAL, 0.0
 
-    def _guarded(self, look: Callable[[], None]) -> None:
-        """Guards against a look that fails: the others, and the next one, go on."""
+    def _run_check(self, check: Callable[[], None]) -> None:
+        """Run a check; if it fails, log that, so that the other checks and the next round still run."""
         try:
-            look()
+            check()
         except Exception as error:
-            self.gateway.failed("a look failed", error)
+            self.gateway.failed("a periodic check failed", error)
 
     def _answer_overdue(self) -> None:
-        """Answer what should have had its answer by now, and count it."""
+        """Give up tasks that should have been answered by now, which answers them, and count each as a violation."""
         now = clock()
         for held in [held for held in self.gateway.core.held.values() if is_overdue(held, now)]:
             self.gateway.violations.report(Invariant.ANSWER_IN_TIME, id=held.id, attempts=held.task.hand_offs)
             self.gateway.core.give_up(now, held, "overdue")
 
-    def report(self, late: float = 0.0) -> None:
-        """Log the figures so far; `late`: the longest time in seconds that the loop was late since the last ones."""
+    def report(self, max_lateness: float = 0.0) -> None:
+        """Log the figures so far; `max_lateness` is the most, in seconds, that the event loop was late since the last
+        report."""
         gateway = self.gateway
         counts, use = gateway.core.counts, resource.getrusage(resource.RUSAGE_SELF)
         self.log(
@@ -113,8 +115,11 @@
             errors=gateway.clients.errors,
             unanswered=gateway.clients.unanswered,
             never_sent=gateway.never_sent,
-            stores={str(p.store.handle): [len(p.connections), len(p.waiting)] for p in gateway.stores.pools.values()},
-            loop_late_ms=round(late * 1000, 1),
+            stores={
+                str(pool.store.handle): [len(pool.connections), len(pool.waiting)]
+                for pool in gateway.stores.pools.values()
+            },
+            loop_late_ms=round(max_lateness * 1000, 1),
             stalls=gateway.stalls.stalls,
             violations=gateway.violations.counts,
             client_ends=gateway.counts.client_ends,
