--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -1,4 +1,5 @@
-"""Connections to stores: answers that cross ends, times and the next request; what may go again, and where."""
+"""Connections to stores: answers that coincide with an end, a timeout or the next request, and which requests may be
+sent again."""
 
 from __future__ import annotations
 
@@ -13,8 +14,10 @@
 from tansykeel.transport.stream import Stream
 
 NO_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
-ONCE = SETTINGS | {"Classes": [one | {"Repeat": "at_most_once"} for one in SETTINGS["Classes"]]}
-once = pytest.mark.parametrize("settings", [SETTINGS, ONCE], ids=["idempotent", "at most once"])
+AT_MOST_ONCE = SETTINGS | {"Classes": [one | {"Repeat": "at_most_once"} for one in SETTINGS["Classes"]]}
+idempotent_and_at_most_once = pytest.mark.parametrize(
+    "settings", [SETTINGS, AT_MOST_ONCE], ids=["idempotent", "at most once"]
+)
 
 
 def reset(writer):
@@ -27,8 +30,8 @@
     writer.write_eof()
 
 
-async def served(client):
-    """Ask until the gateway trusts the store again after a time that was up."""
+async def served_again(client):
+    """Ask until the gateway sends to the store again after a timeout."""
     for id in range(100, 200):
         if (answer := await client.ask(id)).status == 200:
             return answer
@@ -53,10 +56,10 @@
     play(go())
 
 
-@once
+@idempotent_and_at_most_once
 @pytest.mark.parametrize("head", [NO_LENGTH, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"])
-def test_a_reset_is_no_end_of_an_answer(tmp_path, settings, head):
-    """What was asked may have run: it goes again only where that is allowed."""
+def test_a_reset_does_not_complete_an_answer(tmp_path, settings, head):
+    """The request may have run, so it is sent again only if its class allows that."""
 
     async def go():
         store = Store("s0", 0, lambda request: head + b"bod" if len(store.got) == 1 else ok())
@@ -72,13 +75,13 @@
             )
             reset(store.writers[0])
             answer = await client.answer()
-            assert (answer.status, len(store.got)) == ((500, 1) if settings is ONCE else (200, 2))
+            assert (answer.status, len(store.got)) == ((500, 1) if settings is AT_MOST_ONCE else (200, 2))
             assert stage.gateway.core.counts.outcomes["reset"] == 1
 
     play(go())
 
 
-def test_an_answer_without_a_length_that_never_ends_is_let_go_at_the_bound(tmp_path):
+def test_an_answer_without_a_length_that_exceeds_the_limit_is_an_error(tmp_path):
     async def go():
         store = Store("s0", 0, lambda request: NO_LENGTH + b"x" * (2 << 20))
         async with staged(tmp_path, store) as stage:
@@ -89,7 +92,7 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_an_answer_without_a_length_that_ends_after_the_time_is_nobodys(tmp_path, cancel):
+def test_an_answer_without_a_length_that_ends_after_the_timeout_is_discarded(tmp_path, cancel):
     async def go():
         store = Store("s0", 0, lambda request: NO_LENGTH + b"late")
         settings = SETTINGS | {"Limits": SETTINGS["Limits"] | {"Cancel": cancel}}
@@ -99,13 +102,13 @@
             end(store.writers[0])
             await until(lambda: not any(pool.connections for pool in stage.gateway.stores.pools.values()))
             store.reply = lambda request: ok(b"own")
-            assert (await served(client)).body == b"own"
+            assert (await served_again(client)).body == b"own"
 
     play(go())
 
 
-def test_an_endless_answer_to_a_task_that_has_its_own_is_let_go_in_time(tmp_path, monkeypatch):
-    """Guards against connections held for good where attempts may not be cancelled."""
+def test_an_endless_answer_to_an_answered_task_is_abandoned(tmp_path, monkeypatch):
+    """If attempts may not be cancelled, a connection must not wait forever for an answer that nobody needs."""
 
     async def go():
         store = Store("s0", 0, lambda request: NO_LENGTH + b"x")
@@ -126,9 +129,9 @@
 
 @pytest.mark.parametrize("what", [b"half a li", ok(b"copy"), ok(b"copy")[:9]])
 @pytest.mark.parametrize("crowded", [True, False])
-def test_bytes_on_a_resting_connection_belong_to_no_next_request(tmp_path, what, crowded):
-    """They come between an answer and the next request, and are not read yet when that one is handed off, also where
-    no other connection may be opened."""
+def test_bytes_on_an_idle_connection_are_not_read_as_the_next_answer(tmp_path, what, crowded):
+    """The bytes arrive between an answer and the next request and are still unread when that request is handed off.
+    `crowded`: no other connection may be opened."""
 
     async def go():
         store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
@@ -139,13 +142,13 @@
             assert (await client.ask(1)).body == b"%016x" % 1
             hand_off = stores.hand_off
 
-            def late_then(attempt):
+            def send_late_bytes_then_hand_off(attempt):
                 sock = store.writers[0].get_extra_info("socket")
                 if len(store.got) == 1 and sock.fileno() >= 0:
                     socket.socket.send(socket.socket(fileno=socket.dup(sock.fileno())), what)
                 hand_off(attempt)
 
-            stores.hand_off = late_then
+            stores.hand_off = send_late_bytes_then_hand_off
             assert (await client.ask(2)).body == b"%016x" % 2
             assert (await client.ask(3)).body == b"%016x" % 3
             assert [request.fields[b"x-txn"] for request in store.got] == [b"%016x" % id for id in (1, 2, 3)]
@@ -153,8 +156,8 @@
     play(go())
 
 
-def test_a_connection_rests_after_an_answer_though_no_other_may_be_opened(tmp_path, monkeypatch):
-    """Guards against a second answer, some milliseconds late, that is taken for the next request's."""
+def test_a_connection_cools_down_after_an_answer_though_no_other_may_be_opened(tmp_path, monkeypatch):
+    """A second answer that is a few milliseconds late must not be read as the next request's."""
     monkeypatch.setattr(pool_module, "COOL_DOWN", 0.2)
 
     async def go():
@@ -172,31 +175,33 @@
     play(go())
 
 
-@once
+@idempotent_and_at_most_once
 @pytest.mark.parametrize("whole", [True, False])
-def test_a_reset_before_the_last_byte_never_ran_and_one_after_it_may_have(tmp_path, monkeypatch, settings, whole):
+def test_a_request_reset_before_its_last_byte_never_ran_and_one_after_it_may_have(
+    tmp_path, monkeypatch, settings, whole
+):
     async def go():
         store = Store("s0", 0, lambda request: None)
         async with staged(tmp_path, store, settings=settings) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
-            client, write, held = await stage.client(), Stream.write, []
+            client, write, held_streams = await stage.client(), Stream.write, []
 
-            def part(stream, data):
-                if b"X-Remaining" in data and not held:
-                    held.append(stream)
+            def write_part(stream, data):
+                if b"X-Remaining" in data and not held_streams:
+                    held_streams.append(stream)
                     if not whole:
-                        write(stream, data[:-1])  # the last byte finds no room in the socket
+                        write(stream, data[:-1])  # the socket does not take the last byte
                         stream.unsent += data[-1:]
                         return
                 write(stream, data)
 
-            monkeypatch.setattr(Stream, "write", part)
+            monkeypatch.setattr(Stream, "write", write_part)
             client.writer.write(asking(1, body=b"abc"))
-            await until(lambda: held and store.writers and (store.got or not whole))
+            await until(lambda: held_streams and store.writers and (store.got or not whole))
             store.reply = lambda request: ok()
             reset(store.writers[0])
             answer = await client.answer()
-            ran = whole and settings is ONCE
+            ran = whole and settings is AT_MOST_ONCE
             assert (answer.status, len(store.got)) == ((500, 1) if ran else (200, 2 if whole else 1))
             assert ("reset" in stage.gateway.core.counts.outcomes) is whole
 
@@ -204,26 +209,26 @@
 
 
 @pytest.mark.parametrize("leaves", [True, False])
-def test_a_connection_that_comes_up_after_its_task_left_or_its_store_drains_carries_nothing(
+def test_a_connection_established_after_its_client_left_or_its_store_drains_sends_nothing(
     tmp_path, monkeypatch, leaves
 ):
     async def go():
         store = Store("s0", 0)
         async with staged(tmp_path, store) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
-            late, connected = [], Stream._connected
+            delayed, connected = [], Stream._connected
 
-            def held_back(stream):
-                if stream not in late:
-                    late.append(stream)
+            def delay_connect(stream):
+                if stream not in delayed:
+                    delayed.append(stream)
                     stage.gateway.loop.remove_writer(stream.sock)
                 else:
                     connected(stream)
 
-            monkeypatch.setattr(Stream, "_connected", held_back)
+            monkeypatch.setattr(Stream, "_connected", delay_connect)
             client = await stage.client()
             client.writer.write(asking(1, x_remaining="1.0"))
-            await until(lambda: late)
+            await until(lambda: delayed)
             if leaves:
                 client.writer.transport.abort()
                 await until(lambda: stage.gateway.core.counts.left == 1)
@@ -231,7 +236,7 @@
                 stage.list.tell([store.row(phase="Terminating")])
                 await until(lambda: stage.gateway.core.list_version == 6)
                 assert (await client.answer()).status == 503
-            for stream in late:
+            for stream in delayed:
                 connected(stream)
             await asyncio.sleep(0)
             pool = next(iter(stage.gateway.stores.pools.values()))
@@ -240,12 +245,13 @@
     play(go())
 
 
-def test_an_answer_that_is_there_when_the_time_is_up_and_an_end_behind_it(tmp_path):
-    """All three in one turn of the loop, the time first: one outcome, nothing sent twice, and the gateway goes on."""
+def test_an_answer_and_an_end_that_arrive_with_the_timeout(tmp_path):
+    """The timeout, the answer and the end come in one iteration of the event loop, the timeout first: one outcome is
+    reported, nothing is sent twice, and the gateway keeps working."""
 
     async def go():
         store = Store("s0", 0, lambda request: None)
-        async with staged(tmp_path, store, settings=ONCE) as stage:
+        async with staged(tmp_path, store, settings=AT_MOST_ONCE) as stage:
             client, core = await stage.client(), stage.gateway.core
             client.writer.write(asking(1))
             await until(lambda: store.got)
@@ -258,12 +264,12 @@
             assert answer.status == 500 and core.counts.outcomes == {"timed out": 1} and len(store.got) == 1
             await until(lambda: not core.held and not any(p.connections for p in stage.gateway.stores.pools.values()))
             store.reply = lambda request: ok()
-            await served(client)
+            await served_again(client)
 
     play(go())
 
 
-def test_no_descriptor_for_a_first_attempt_makes_room_and_says_nothing_of_the_store(tmp_path, monkeypatch):
+def test_no_descriptor_for_a_first_attempt_closes_idle_clients_and_is_no_failure_of_the_store(tmp_path, monkeypatch):
     async def go():
         store = Store("s0", 0)
         async with staged(tmp_path, store) as stage:
