--- a/tests/platform/test_second_answers.py
+++ b/tests/platform/test_second_answers.py
@@ -1,5 +1,5 @@
-"""Second and late answers: HTTP/1.1 matches answers by order alone, so a connection is used again only where none can
-still come that belongs to an earlier request, as far as that can be told."""
+"""Second and late answers: HTTP/1.1 matches answers to requests by their order alone, so a connection is reused only
+if, as far as can be told, no answer to an earlier request can still arrive on it."""
 
 from __future__ import annotations
 
@@ -20,40 +20,40 @@
     return [connection for pool in stage.gateway.stores.pools.values() for connection in pool.connections]
 
 
-def without_checks(stage):
-    """Stop the gateway from checking several times a second, which shrinks the cool-down; return the check."""
+def disable_checks(stage):
+    """Disable the periodic check of connections to stores, which lowers the cool-down; return it."""
     check, stage.gateway.stores.check_timeouts = stage.gateway.stores.check_timeouts, lambda: None
     return check
 
 
 def gateway_side(stage, writer) -> StoreConnection | None:
-    """The gateway's end of a store's connection, None once it has closed it."""
+    """Return the gateway's end of a store's connection, None once the gateway has closed it."""
     port = writer.get_extra_info("peername")[1]
     found = (one for one in connections(stage) if one.stream.sock.getsockname()[1] == port)
     return next(found, None)
 
 
-class SlowStore(Store):
-    """Answers by hand: `answer(id)` to a request that came, on its own connection."""
+class ManualStore(Store):
+    """Answers a received request when `answer(id)` is called, on the connection of that request."""
 
     def __init__(self):
         super().__init__("s0", 0, self.remember)
-        self.came = {}
+        self.received = {}
 
     def remember(self, request):
-        self.came[int(request.fields[b"x-txn"], 16)] = self.writers[-1]
+        self.received[int(request.fields[b"x-txn"], 16)] = self.writers[-1]
 
     def answer(self, id):
-        self.came[id].write(ok(b"%016x" % id))
+        self.received[id].write(ok(b"%016x" % id))
 
 
-async def sent_on(client, store):
-    """Ask until the gateway trusts the store again after a time that was up; the request's id and its answer."""
+async def ask_until_sent(client, store):
+    """Ask until the gateway sends to the store again after a timeout; return the request's id and its answer."""
     for id in range(100, 200):
         client.writer.write(asking(id))
         answered = asyncio.create_task(client.answer())
-        await until(lambda id=id, answered=answered: id in store.came or answered.done())
-        if id in store.came:
+        await until(lambda id=id, answered=answered: id in store.received or answered.done())
+        if id in store.received:
             return id, answered
         await asyncio.sleep(0.05)
     raise AssertionError("the store was not asked again")
@@ -61,15 +61,17 @@
 
 @pytest.mark.parametrize("gives_up", ["its time is up", "its client left"])
 def test_a_connection_is_not_used_again_after_an_answer_that_was_given_up(tmp_path, gives_up):
-    """Where attempts may not be cancelled, the answer of one that was given up is awaited on its connection. A store
-    that answers so late may do so twice, and the second answer would be read as the next request's."""
+    """If attempts may not be cancelled, the answer to an attempt that was given up is awaited on its connection.
+
+    A store that answers so late may answer twice, and the second answer would be read as the next request's.
+    """
 
     async def go():
-        store = SlowStore()
+        store = ManualStore()
 
         def answer_on_another_connection(request):
             store.remember(request)
-            return None if store.writers[-1] is store.came[1] else ok(request.fields[b"x-txn"])
+            return None if store.writers[-1] is store.received[1] else ok(request.fields[b"x-txn"])
 
         async with staged(tmp_path, store, settings=NO_CANCEL) as stage:
             client = await stage.client()
@@ -78,7 +80,7 @@
                 client = await stage.client()
             else:
                 client.writer.write(asking(1))
-                await until(lambda: store.came)
+                await until(lambda: store.received)
                 client.writer.transport.abort()
                 await until(lambda: stage.gateway.core.counts.left == 1)
                 client = await stage.client()
@@ -87,7 +89,7 @@
             await until(lambda: not connections(stage) or connections(stage)[0].attempt is None)
             await asyncio.sleep(2 * pool_module.COOL_DOWN)
             store.reply = answer_on_another_connection
-            id, answered = await sent_on(client, store)
+            id, answered = await ask_until_sent(client, store)
             store.answer(1)
             assert (await answered).body == b"%016x" % id
             assert len(store.writers) == 2
@@ -95,9 +97,9 @@
     play(go())
 
 
-def test_an_answer_that_was_given_up_ends_its_connection_at_once_where_that_may_be(tmp_path):
+def test_an_attempt_that_is_given_up_closes_its_connection_at_once_where_cancels_are_allowed(tmp_path):
     async def go():
-        store = SlowStore()
+        store = ManualStore()
         async with staged(tmp_path, store) as stage:
             assert (await (await stage.client()).ask(1, x_remaining="0.3")).status in (500, 503)
             assert not connections(stage)
@@ -106,12 +108,12 @@
 
 
 def test_connections_of_a_store_that_answered_twice_cool_down_for_longer(tmp_path):
-    """A second answer that came 40 ms late: another may come as late, so the next request waits for no less."""
+    """After a second answer that was 40 ms late, the next one may be as late, so connections are reused later."""
 
     async def go():
         store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
-            client, stores, check = await stage.client(), stage.gateway.stores, without_checks(stage)
+            client, stores, check = await stage.client(), stage.gateway.stores, disable_checks(stage)
             assert (await client.ask(1)).body == b"%016x" % 1
             pool = next(iter(stores.pools.values()))
             assert pool.cool_down == pool_module.COOL_DOWN
@@ -137,12 +139,12 @@
     play(go())
 
 
-def test_the_cool_down_has_a_bound_and_belongs_to_one_store(tmp_path):
+def test_the_cool_down_is_limited_and_per_store(tmp_path):
     async def go():
         stores = [Store(f"s{number}", number, lambda request: ok(request.fields[b"x-txn"])) for number in (0, 1)]
         async with staged(tmp_path, *stores) as stage:
             client = await stage.client()
-            without_checks(stage)
+            disable_checks(stage)
             for number in (0, 1):
                 assert (await client.ask(1 + number, x_extent=f"units=2,shard={number},hosts=1")).status == 200
             now, clock = stage.gateway.stores.now(), stage.gateway.stores.now
@@ -156,14 +158,14 @@
     play(go())
 
 
-def test_bytes_on_a_new_connection_are_no_second_answer(tmp_path):
-    """Nothing was asked on it: what comes says nothing of how late this store's second answers are."""
+def test_bytes_on_a_new_connection_are_not_a_second_answer(tmp_path):
+    """No request was sent on it, so the bytes do not show how late this store's second answers are."""
 
     async def go():
         store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
-            without_checks(stage)
+            disable_checks(stage)
             assert (await client.ask(1)).status == 200
             pool = next(iter(stage.gateway.stores.pools.values()))
             pool.connections[StoreConnection(pool, stage.gateway.stores, store.address, 1.0)] = None
@@ -175,19 +177,20 @@
     play(go())
 
 
-class TwiceStore(Store):
-    """Answers each request with its id, in ways drawn by a seed, and again wherever the gateway can tell: with the
-    answer, in part, while the connection cools down or idles, and after an answer that was given up.
+class SecondAnswerStore(Store):
+    """Answers each request with its id, and sends second answers in every way that the gateway can detect, chosen at
+    random by seed: with the answer, in part, while the connection cools down or is idle, and after an answer that was
+    given up.
 
-    A second answer is written in the very call that finds the gateway's connection without a request, or, where the
-    first answer was given up, also when the next request is there: so late that it would be taken for its answer.
+    A second answer is written in the same call that finds the gateway's connection without a request. If the first
+    answer was given up, it is also written when the next request arrives, so that it would be read as its answer.
     """
 
     def __init__(self, seed):
-        super().__init__("s0", 0, self.draw)
+        super().__init__("s0", 0, self.reject)
         self.random = random.Random(seed)
         self.stage = None
-        self.seconds = {"with": 0, "part": 0, "idle": 0, "late": 0, "reset": 0, "ahead": 0}
+        self.counts_by_kind = {"with": 0, "part": 0, "idle": 0, "late": 0, "reset": 0, "ahead": 0}
         self.given_up = {}  # by writer, the answer to send again when the next request comes on it
         self.tasks = set()
 
@@ -212,30 +215,30 @@
         finally:
             writer.close()
 
-    def draw(self, request):
+    def reject(self, request):
         raise AssertionError("answered by respond")
 
     async def respond(self, writer, request):
         answer = ok(request.fields[b"x-txn"])
-        way = self.random.choice(["once", "once", *self.seconds])
+        kind = self.random.choice(["once", "once", *self.counts_by_kind])
         await asyncio.sleep(self.random.choice([0, 0, 0.002, 0.01]))
-        if way == "late":
+        if kind == "late":
             connection = gateway_side(self.stage, writer)
             if connection is None:
                 return
             await until(lambda: connection.attempt is None or connection.attempt.finished)
             self.given_up[writer] = answer
-        self.seconds[way] = self.seconds.get(way, 0) + 1
-        if way == "reset":
+        self.counts_by_kind[kind] = self.counts_by_kind.get(kind, 0) + 1
+        if kind == "reset":
             writer.write(answer[: len(answer) // 2])
             return writer.transport.abort()
-        head = b"HTTP/1.1 102 Wait\r\n\r\n" if way == "ahead" else b""
-        behind = {"with": answer, "part": answer[: self.random.randrange(1, 30)]}.get(way, b"")
+        head = b"HTTP/1.1 102 Wait\r\n\r\n" if kind == "ahead" else b""
+        behind = {"with": answer, "part": answer[: self.random.randrange(1, 30)]}.get(kind, b"")
         writer.write(head + answer + behind)
-        if way == "idle":
-            await self.again_while_idle(writer, answer)
+        if kind == "idle":
+            await self.answer_again_while_idle(writer, answer)
 
-    async def again_while_idle(self, writer, answer):
+    async def answer_again_while_idle(self, writer, answer):
         for _ in range(self.random.choice([1, 5, 20])):
             await asyncio.sleep(0)
         connection = gateway_side(self.stage, writer)
@@ -247,16 +250,16 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("most", [2, 76])
 def test_no_answer_reaches_another_request(tmp_path, settings, seed, most):
-    """Eight clients, 20 requests each, by a store that answers twice in every way that can be told."""
+    """Eight clients send 20 requests each to a store that answers twice in every detectable way."""
 
     async def go():
-        store = TwiceStore(seed)
+        store = SecondAnswerStore(seed)
         async with staged(tmp_path, store, settings=settings) as stage:
             store.stage = stage
             stage.gateway.stores.max_connections = most
             delivered = 0
 
-            async def asks(number):
+            async def ask_all(number):
                 nonlocal delivered
                 for turn in range(20):
                     client, id = await stage.client(), number * 1000 + turn
@@ -265,8 +268,8 @@
                         assert answer.body == b"%016x" % id
                         delivered += 1
 
-            await asyncio.gather(*(asks(number) for number in range(1, 9)))
-            assert delivered >= 20 and all(store.seconds.values())
+            await asyncio.gather(*(ask_all(number) for number in range(1, 9)))
+            assert delivered >= 20 and all(store.counts_by_kind.values())
             for task in store.tasks:
                 task.cancel()
 
