--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -1,4 +1,4 @@
-"""The platform's gateway and its discovery: what is told in which form, and what falls silent."""
+"""The platform's gateway follows discovery: formats of the list, silent and ended watches, changes of the address."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tansykeel.platform.objects import ObjectSplitter, Unfit
 
 
-def test_the_list_is_followed_in_pieces_and_older_versions_are_not_believed(tmp_path):
+def test_partial_updates_are_applied_and_older_versions_are_ignored(tmp_path):
     async def go():
         store, other = Store("s0", 0), Store("s1", 0)
         async with staged(tmp_path, store) as stage:
@@ -34,7 +34,7 @@
     play(go())
 
 
-def test_on_sighup_discovery_moves_and_the_old_watch_is_let_go_once_the_new_one_speaks(tmp_path):
+def test_on_sighup_the_old_watch_is_closed_once_the_new_address_sends_a_message(tmp_path):
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
             gateway = stage.gateway
@@ -70,7 +70,7 @@
     ],
 )
 @pytest.mark.parametrize("size", [1, 2, 3, 1000])
-def test_objects_are_found_wherever_lines_and_pieces_end(text, size):
+def test_objects_are_found_whatever_the_line_breaks_and_chunks(text, size):
     objects, found = ObjectSplitter(200), []
     for at in range(0, len(text), size):
         found += objects.feed(text.encode()[at : at + size])
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, says",
+    "text, message",
     [
         (b"}", "did not begin"),
         (b"error\n", "no object"),
@@ -88,14 +88,14 @@
         (b'{"a":' * 60, "more than 200 bytes"),
     ],
 )
-def test_what_is_no_sequence_of_objects_is_refused(text, says):
-    with pytest.raises(Unfit, match=says):
+def test_data_that_is_not_a_sequence_of_objects_is_rejected(text, message):
+    with pytest.raises(Unfit, match=message):
         ObjectSplitter(200).feed(text)
 
 
 @pytest.mark.parametrize("indent", [2, "\t"])
-def test_an_indented_list_and_indented_changes_are_taken(tmp_path, indent):
-    """Guards against a watch that ends at the first line end within an object and begins again for ever."""
+def test_an_indented_list_and_indented_changes_are_applied(tmp_path, indent):
+    """A watch must not end at the first line break within an object, which made it restart forever."""
 
     async def go():
         store, other = Store("s0", 0), Store("s1", 0)
@@ -115,13 +115,18 @@
 
 
 @pytest.mark.parametrize("mute", ["connect", "head", "object", "empty"])
-@pytest.mark.parametrize("further", [[], ["connect"] * 2, ["head"] * 2, ["object"] * 2, ["empty"], ["end", "connect"]])
-def test_what_a_silent_watch_misses_is_there_before_it_counts_as_told(tmp_path, mute, further):
-    """6 s after the last word, by the gateway's clock (here moved by hand), though further watches are silent too."""
-    more = len(further)
+@pytest.mark.parametrize(
+    "more_watches", [[], ["connect"] * 2, ["head"] * 2, ["object"] * 2, ["empty"], ["end", "connect"]]
+)
+def test_what_a_silent_watch_misses_is_received_in_time(tmp_path, mute, more_watches):
+    """An update is received within 6 s of the last message, though further watches are silent too.
+
+    The test advances the clock of `Discovery`.
+    """
+    more = len(more_watches)
 
     async def go():
-        list_ = List(mute=[mute, *further])
+        list_ = List(mute=[mute, *more_watches])
         async with staged(tmp_path, Store("s0", 0), list_=list_) as stage:
             discovery, core = stage.gateway.discovery, stage.gateway.core
             clock = [discovery.now()]
@@ -145,8 +150,8 @@
     play(go())
 
 
-def test_a_watch_that_ends_is_opened_anew_before_a_drain_s_grace_is_over(tmp_path):
-    """Guards against news that the agent holds while no watch is open: it counts as told."""
+def test_a_watch_that_ends_is_reopened_within_the_grace_period_of_a_drain(tmp_path):
+    """The gateway counts as informed of changes even while it has no watch open, so a new one is opened in time."""
 
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
@@ -159,7 +164,7 @@
     play(go())
 
 
-def test_nothing_is_sent_on_the_word_of_known_once_the_agent_can_be_heard(tmp_path):
+def test_the_configured_known_list_is_not_used_once_discovery_is_available(tmp_path):
     async def go():
         store = Store("s0", 0)
         store.phase = "Terminating"
@@ -170,15 +175,15 @@
 
 
 @pytest.mark.parametrize("mute, drip", [("object", b" "), ("object", b"\n"), ("head", b"{"), ("empty", b'{"a": 1')])
-def test_what_trickles_and_never_is_whole_is_no_word(tmp_path, monkeypatch, mute, drip):
-    """Bytes come in each quarter of a second of the clock that is moved by hand, and no object ends."""
-    came, data = [], Watch._on_data
+def test_slow_bytes_of_an_incomplete_object_are_not_a_message(tmp_path, monkeypatch, mute, drip):
+    """Bytes arrive every quarter of a second of the clock that the test advances, but no object is completed."""
+    received, data = [], Watch._on_data
 
-    def counted(watch, text):
-        came.append(text)
+    def count_data(watch, text):
+        received.append(text)
         data(watch, text)
 
-    monkeypatch.setattr(Watch, "_on_data", counted)
+    monkeypatch.setattr(Watch, "_on_data", count_data)
 
     async def go():
         list_ = List(mute=[mute])
@@ -191,9 +196,9 @@
             while core.list_version < 5:
                 clock[0] += 0.25
                 assert clock[0] <= begun + 6.0
-                before = len(came)
+                before = len(received)
                 list_.drip(drip)
-                await until(lambda before=before: len(came) > before)
+                await until(lambda before=before: len(received) > before)
                 opened = len(list_.asked)
                 discovery.check_timeouts()
                 if len(discovery.watches) > opened:
@@ -203,14 +208,14 @@
     play(go())
 
 
-def moving(stage, moved, tmp_path):
+def reload_with_address(stage, moved, tmp_path):
     configuration(tmp_path, moved if isinstance(moved, str) else moved.address)
     stage.gateway.read_anew()
 
 
 @pytest.mark.parametrize("first", ["refused", "end", "silent"])
-def test_a_new_address_is_tried_again_though_the_old_watch_lives(tmp_path, first):
-    """Guards against a gateway that goes on with what the old discovery tells, for good."""
+def test_a_new_address_is_tried_again_while_the_old_watch_is_open(tmp_path, first):
+    """The gateway must not stay with the old address for good if the new one is not available at first."""
 
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
@@ -222,12 +227,12 @@
             if first == "refused":
                 moved.server.close()
                 await moved.server.wait_closed()
-                moving(stage, moved, tmp_path)
+                reload_with_address(stage, moved, tmp_path)
                 await until(lambda: len(discovery.watches) == 1 and discovery.watches[0] is old)
                 host, port = moved.address.split(":")
                 moved.server = await asyncio.start_server(moved._talk, host, int(port))
             else:
-                moving(stage, moved, tmp_path)
+                reload_with_address(stage, moved, tmp_path)
             await until(lambda: stage.gateway.core.list_version == 9, 4.0)
             assert old.stream.closed and [watch.host.decode() for watch in discovery.watches] == [moved.address]
             await moved.stop()
@@ -236,8 +241,8 @@
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_a_new_discovery_that_counts_lower_is_believed_but_undoes_no_drain(tmp_path, whole):
-    """Guards against news that is not believed for good, and against a list behind the one before."""
+def test_a_new_discovery_with_lower_versions_is_followed_but_undoes_no_drain(tmp_path, whole):
+    """Updates of the new discovery must not be ignored forever, nor may an older list undo a drain."""
 
     class Changes(List):
         def text(self, rows, full):
@@ -252,16 +257,16 @@
             await until(lambda: core.list_version == 6)
             moved = await Changes().start()
             moved.revision, moved.rows = 2, [stores[0].row(), stores[1].row()]
-            moving(stage, moved, tmp_path)
+            reload_with_address(stage, moved, tmp_path)
             await until(lambda: core.list_version == 2)
             assert [core.stores[f"s{n}"].state.value for n in range(3)] == ["draining", "ready", "gone"]
             moved.tell([stores[1].row(phase="Terminating"), stores[2].row()])
             await until(lambda: core.list_version == 3)
             assert [core.stores[f"s{n}"].state.value for n in range(3)] == ["draining", "draining", "ready"]
             moved.revision = 1
-            moved.tell([stores[1].row()])  # an older version is not believed as before
+            moved.tell([stores[1].row()])  # an older version is ignored again
             moved.revision = 3
-            moved.tell([stores[0].row(up_since_ms=1000)])  # a new start may be sent to again
+            moved.tell([stores[0].row(up_since_ms=1000)])  # a store that has restarted is ready again
             await until(lambda: core.list_version == 4)
             assert [core.stores[f"s{n}"].state.value for n in range(3)] == ["ready", "draining", "ready"]
             assert moved.asked[0].endswith("index=6") and len(moved.asked) == (1 if whole else 2)
@@ -277,11 +282,11 @@
             await until(lambda: stage.gateway.core.list_version == 5)
             between, last = await List(mute=["connect"] * 9).start(), await List().start()
             last.revision, last.rows = 12, stage.list.rows
-            moving(stage, between, tmp_path)
+            reload_with_address(stage, between, tmp_path)
             connecting = discovery.watches[-1]
             assert not connecting.got_data
-            moving(stage, last, tmp_path)
-            moving(stage, last, tmp_path)
+            reload_with_address(stage, last, tmp_path)
+            reload_with_address(stage, last, tmp_path)
             assert connecting.stream.closed and len(discovery.watches) == 2
             await until(lambda: stage.gateway.core.list_version == 12)
             assert [watch.host.decode() for watch in discovery.watches] == [last.address] and len(last.asked) == 1
@@ -291,7 +296,7 @@
     play(go())
 
 
-def test_no_descriptor_for_a_watch_makes_room_and_is_tried_again(tmp_path, monkeypatch):
+def test_without_a_descriptor_for_a_watch_idle_clients_are_closed_and_it_is_retried(tmp_path, monkeypatch):
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
