--- a/tests/platform/test_slow_discovery.py
+++ b/tests/platform/test_slow_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery that is slow or crowded: it takes seconds until a watch has its first word."""
+"""A slow or overloaded discovery: a watch receives its first message only after seconds."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from platform_stage import List, Store, play, staged, until
 
 
-class SlowList(List):
-    """Says nothing on a connection for some seconds after its request came, then serves it."""
+class DelayedList(List):
+    """Sends nothing on a connection for some seconds after its request arrived, then serves it."""
 
     def __init__(self, seconds):
         super().__init__()
@@ -18,18 +18,18 @@
     async def talk(self, reader, writer):
         head = await reader.readuntil(b"\r\n\r\n")
         await asyncio.sleep(self.seconds)
-        again = asyncio.StreamReader()
-        again.feed_data(head)
+        replayed = asyncio.StreamReader()
+        replayed.feed_data(head)
         self.muted.discard(writer)
-        await super().talk(again, writer)
+        await super().talk(replayed, writer)
         await reader.read()
 
 
 @pytest.mark.parametrize("seconds", [4.5, 6.0])
-def test_a_watch_that_takes_longer_than_others_are_opened_beside_it_is_not_given_up(tmp_path, seconds):
+def test_a_slow_watch_is_kept_while_others_are_opened_beside_it(tmp_path, seconds):
     async def go():
         store = Store("s0", 0)
-        async with staged(tmp_path, store, list_=SlowList(seconds), known=False) as stage:
+        async with staged(tmp_path, store, list_=DelayedList(seconds), known=False) as stage:
             await until(lambda: stage.gateway.core.list_version == 5, seconds + 2.0)
             assert len(stage.gateway.discovery.watches) <= 4
 
