--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -1,4 +1,4 @@
-"""Clients that take their answers slowly, or not at all."""
+"""Clients that read their answers slowly, or not at all."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 @pytest.mark.parametrize("connection", ["keep-alive", "close"])
-def test_a_client_that_reads_slowly_keeps_its_place_until_its_answer_is_whole(tmp_path, monkeypatch, connection):
-    """Guards against making room with a connection whose answer has not left yet: the task would be lost."""
+def test_a_client_that_reads_slowly_is_not_closed_before_its_answer_is_complete(tmp_path, monkeypatch, connection):
+    """A connection whose answer is not fully written must not be closed to make room: its task would be lost."""
     monkeypatch.setattr("tansykeel.platform.clients.BRIEF", 0.0)
     monkeypatch.setattr("tansykeel.platform.clients.LINGER", 0.0)
 
@@ -47,10 +47,11 @@
 
 
 @pytest.mark.parametrize("reads", [True, False])
-def test_an_answer_that_is_taken_slowly_is_left_to_its_end_and_one_that_is_not_taken_is_not(tmp_path, reads):
-    """By the gateway's clock, moved by hand between looks: 4 s at a time, of 5 s without any byte taken.
+def test_a_client_that_reads_slowly_gets_its_whole_answer_and_one_that_reads_nothing_is_closed(tmp_path, reads):
+    """The test advances the clock of `Clients` by 4 s between checks; a connection on which no byte was read for 5 s is
+    closed.
 
-    The client reads a tenth of the answer at a time, so that most of it is still to come after the last look.
+    The client reads a tenth of the answer at a time, so that most of it is still unread after the last check.
     """
 
     async def go():
@@ -63,19 +64,19 @@
             slow.send(asking(1))
             await until(lambda: client.stream.unsent)
             now = clients.now()
-            clients.now, late, read = (lambda: now), 0, b""
+            clients.now, closed_count, read = (lambda: now), 0, b""
             client.since = now
             clients.look()
             for _ in range(4):
                 now += 4.0
-                left = len(client.stream.unsent)
+                unsent_before = len(client.stream.unsent)
                 if reads:
                     read += await read_part(slow, 100_000)
-                    await until(lambda left=left: len(client.stream.unsent) < left)
-                    assert client.stream.unsent, "the answer has to be under way at each look"
+                    await until(lambda unsent_before=unsent_before: len(client.stream.unsent) < unsent_before)
+                    assert client.stream.unsent, "a part of the answer has to be unsent at each check"
                 clients.look()
-                late += client.stream.closed
-            assert (late > 0) is not reads
+                closed_count += client.stream.closed
+            assert (closed_count > 0) is not reads
             if reads:
                 whole = codec.answer(200, b"x" * 1_000_000)
                 assert read + await read_part(slow, len(whole) - len(read)) == whole
