--- a/tests/platform/test_partly_written.py
+++ b/tests/platform/test_partly_written.py
@@ -1,4 +1,4 @@
-"""A request that its store takes slowly: it has not begun before its last byte is written."""
+"""A request that its store reads slowly: the store can't begin it before its last byte is written."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 import pytest
 from platform_stage import SETTINGS, Store, asking, play, staged, until
 
-SLACK = 0.15  # seconds by which the time told to a store may be over what the client has left
+SLACK = 0.15  # seconds by which the time left that a store is told may exceed what the client has left
 NO_CANCEL = SETTINGS | {"Limits": SETTINGS["Limits"] | {"Cancel": False}}
 BODY = b"x" * 60_000
 
 
 class SlowReadingStore(Store):
-    """Reads nothing of a request for some seconds; notes when each was whole and what time it was told."""
+    """Reads nothing for some seconds; records when each request was complete and the time left that it stated."""
 
     def __init__(self, name, shard, seconds):
         super().__init__(name, shard)
-        self.seconds, self.whole = seconds, {}
-        self.reply = self._note
+        self.seconds, self.completed = seconds, {}
+        self.reply = self._record
 
-    def _note(self, request):
-        self.whole[request.fields[b"x-txn"]] = (time.monotonic(), float(request.fields[b"x-remaining"]))
+    def _record(self, request):
+        self.completed[request.fields[b"x-txn"]] = (time.monotonic(), float(request.fields[b"x-remaining"]))
         return b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
     async def start(self):
@@ -41,7 +41,7 @@
 
 @pytest.fixture(autouse=True)
 def small_send_buffers(monkeypatch):
-    """So that a body does not fit into what the kernel holds."""
+    """Make the kernel's send buffers smaller than a body."""
     from tansykeel.platform import connection
 
     def open_small(address):
@@ -52,7 +52,7 @@
     monkeypatch.setattr(connection, "open_socket", open_small)
 
 
-def test_the_time_told_is_not_older_than_the_slack_when_the_last_byte_comes(tmp_path):
+def test_the_time_left_that_a_store_is_told_is_right_when_the_last_byte_arrives(tmp_path):
     async def go():
         store = SlowReadingStore("s0", 0, 0.7)
         async with staged(tmp_path, store) as stage:
@@ -62,14 +62,18 @@
             answer = await client.answer()
             assert answer and answer.status in (200, 503)
             await asyncio.sleep(0.2)
-            late = [told for came, told in store.whole.values() if told > sent + 2.0 - came + SLACK]
-            assert not late
+            too_long = [
+                time_left
+                for completed_at, time_left in store.completed.values()
+                if time_left > sent + 2.0 - completed_at + SLACK
+            ]
+            assert not too_long
 
     play(go())
 
 
 @pytest.mark.parametrize("settings", [SETTINGS, NO_CANCEL], ids=["cancel", "no cancel"])
-def test_what_is_partly_written_for_a_client_that_left_is_not_finished(tmp_path, settings):
+def test_a_partly_written_request_of_a_client_that_left_is_not_completed(tmp_path, settings):
     async def go():
         store = SlowReadingStore("s0", 0, 0.6)
         async with staged(tmp_path, store, settings=settings) as stage:
@@ -79,6 +83,6 @@
             await asyncio.sleep(0.05)
             client.writer.transport.abort()
             await asyncio.sleep(1.2)
-            assert not store.whole
+            assert not store.completed
 
     play(go())
