--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""A wall clock that is stepped: the age of a store that has just started does not follow it."""
+"""Steps of the wall clock do not change the age of a store that has just started."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from platform_stage import SETTINGS, Store, play, staged, until
 
 WARM_AFTER = 17.0  # seconds
-COLD = SETTINGS | {
+SLOW_START_SETTINGS = SETTINGS | {
     "Rules": {"Cold": WARM_AFTER * 1e9, "ColdShare": 0.19, "FallMultiple": 2.5, "OverloadFor": 3e9},
     "Specifics": SETTINGS["Specifics"] | {"YoungLimit": 30.0},
 }
@@ -23,17 +23,17 @@
 
 
 def age_in_seconds(stage, name):
-    """How long ago the store started, as the core believes."""
+    """Return the age of the store's last start as the core sees it."""
     core = stage.gateway.core
     return (core.runner.now - core.stores[name].started) / 10_000
 
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("age", [0.2, 2.0])
-def test_a_start_told_after_a_step_counts_by_real_time(tmp_path, monkeypatch, step, age):
+def test_a_start_reported_after_a_clock_step_has_its_real_age(tmp_path, monkeypatch, step, age):
     async def go():
         store = Store("s0", 0)
-        async with staged(tmp_path, store, settings=COLD) as stage:
+        async with staged(tmp_path, store, settings=SLOW_START_SETTINGS) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             real = step_wall_clock(monkeypatch, step)
             stage.list.tell([store.row(up_since_ms=(real() - age) * 1000)])
@@ -45,13 +45,13 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_second_start_told_after_a_step_is_a_new_one(tmp_path, monkeypatch, step):
-    """A forward step made the second start look older than the first, so that it was not taken in."""
+def test_a_second_start_reported_after_a_clock_step_is_a_new_start(tmp_path, monkeypatch, step):
+    """A forward step made the second start look older than the first, so that it was ignored."""
 
     async def go():
         store = Store("s0", 0)
         store.since = (time.time() - 10) * 1000
-        async with staged(tmp_path, store, settings=COLD) as stage:
+        async with staged(tmp_path, store, settings=SLOW_START_SETTINGS) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             assert 9.5 < age_in_seconds(stage, "s0") < 11.5
             real = step_wall_clock(monkeypatch, step)
@@ -62,15 +62,13 @@
     play(go())
 
 
-def test_a_clock_that_was_ahead_before_the_start_is_found_out_by_a_start_that_could_not_be_missed(
-    tmp_path, monkeypatch
-):
-    """The list was known to be without that start a moment ago, so it can't be an hour old."""
+def test_a_clock_that_was_ahead_at_the_start_is_detected_by_a_start_that_is_new_in_the_list(tmp_path, monkeypatch):
+    """The list did not have that start a moment ago, so it can't be an hour old."""
 
     async def go():
         store = Store("s0", 0)
         real = step_wall_clock(monkeypatch, 3600.0)
-        async with staged(tmp_path, store, settings=COLD) as stage:
+        async with staged(tmp_path, store, settings=SLOW_START_SETTINGS) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             await asyncio.sleep(0.2)
             stage.list.tell([store.row(up_since_ms=real() * 1000)])
