--- a/tests/platform/test_epoll_failures.py
+++ b/tests/platform/test_epoll_failures.py
@@ -1,11 +1,11 @@
-"""`epoll_ctl` fails with ENOMEM or ENOSPC, as Linux documents it: the gateway goes on.
-
-Seen from outside: the process ended by signal 6 with all that it held, and 193 of 200 requests found nobody. The event
-loop was libuv's, through uvloop. It asks the kernel twice for each new descriptor. Where the first call failed, the
-error was raised into whoever began to watch: a client that had just been accepted was reset, and at the start the
-process ended with code 1 or served nobody. That the second ends the process is only suspected. With the nth call
-failing once (n from 1 to 60, 40 clients, 200 requests) 40 plays lost 5 requests, two all of them; signal 6 did not come
-in these. Now the loop is asyncio's on a selector that keeps what is wanted and tries again: 200 of 200 in all 60.
+"""`epoll_ctl` fails with ENOMEM or ENOSPC, which Linux documents: the gateway must keep working.
+
+With uvloop (libuv) a gateway was ended by signal 6, with all tasks that it held, and 193 of 200 requests found no
+gateway. libuv calls `epoll_ctl` twice for each new descriptor. If the first call failed, the error was raised to the caller: a client that had just been
+accepted was reset, or the process ended with code 1 at its start or served nobody. That a failure of the second call
+ends the process is only suspected. With the nth call failing once (n from 1 to 60, 40 clients, 200 requests), 40 runs
+lost 5 requests and two lost all; signal 6 did not occur in them. The event loop is now asyncio's, on a selector that
+remembers what should be registered and tries again: all 200 requests were answered in all 60 runs.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 
 FAILURES = [errno.ENOMEM, errno.ENOSPC]
 ACCEPTED_WITHIN = 0.2  # seconds
-DENIED = 40  # a descriptor that `epoll_ctl` never takes in: one of the clients' below
+DENIED = 40  # a descriptor that `epoll_ctl` always fails to add: one of the clients' below
 EPOLL_CTL = {"x86_64": 233, "aarch64": 21}[platform.machine()]
-# A filter of the process's own system calls, by the kernel (seccomp(2)): it fails `epoll_ctl(_, ADD, DENIED, _)`.
+# Runs the gateway with a seccomp(2) filter that lets `epoll_ctl(_, ADD, DENIED, _)` fail with ENOMEM.
 GATEWAY = f"""
 import ctypes, runpy, struct
 def step(code, true, false, value): return struct.pack("HBBI", code, true, false, value)
@@ -52,7 +52,7 @@
 
 
 def open_clients(port, count):
-    """Connections to the gateway, tried until the first one comes up."""
+    """Return connections to the gateway; wait until it accepts the first one."""
     end = time.monotonic() + 10
     while True:
         try:
@@ -63,7 +63,7 @@
 
 
 def status_of_answer(client):
-    """The status of a client's answer, None where none comes in time or the connection ends."""
+    """Return the status of a client's answer, None if none arrives in time or the connection ends."""
     answers = codec.AnswerReader()
     try:
         while (answer := answers.next()) is None:
@@ -76,7 +76,7 @@
 
 
 def ask_all(port, count):
-    """The statuses of one request on each of so many connections, all of which are accepted before the first asks."""
+    """Send one request on each of `count` connections, once all were accepted; return the statuses."""
     clients = open_clients(port, count)
     time.sleep(ACCEPTED_WITHIN)
     for number, client in enumerate(clients, 1):
@@ -87,7 +87,7 @@
     return statuses
 
 
-def test_a_descriptor_that_the_kernel_does_not_watch_costs_nobody_else_an_answer(tmp_path):
+def test_a_descriptor_that_epoll_rejects_affects_no_other_client(tmp_path):
     async def go():
         store, list_ = await Store("s0", 0).start(), await List().start()
         list_.rows.append(store.row())
@@ -114,7 +114,7 @@
 
 
 class FailingEpoll:
-    """The kernel's object, of which every call in `failing` fails once, or as long as it stands there."""
+    """An epoll object of which each call in `failing` fails once, and each `every`-th call fails."""
 
     def __init__(self, failure, every=0):
         self.epoll, self.failure, self.every = select.epoll(), failure, every
@@ -149,46 +149,46 @@
 
 @pytest.fixture
 def pair():
-    made = socket.socketpair()
-    yield made
-    for sock in made:
+    sockets = socket.socketpair()
+    yield sockets
+    for sock in sockets:
         sock.close()
 
 
 @pytest.mark.parametrize("failure", FAILURES, ids=lambda failure: errno.errorcode[failure])
-def test_what_the_kernel_did_not_take_is_tried_again_before_the_next_wait(pair, failure):
+def test_a_failed_call_is_retried_before_the_next_wait(pair, failure):
     epoll = FailingEpoll(failure)
     with RetryingEpollSelector(epoll) as selector:
-        mine, other = pair
+        own, peer = pair
         epoll.failing = {"register"}
-        selector.register(mine, select.EPOLLIN, "data")
-        other.send(b"x")
+        selector.register(own, select.EPOLLIN, "data")
+        peer.send(b"x")
         ((key, events),) = selector.select(0)
-        assert (key.fileobj, events, key.data) == (mine, 1, "data")
+        assert (key.fileobj, events, key.data) == (own, 1, "data")
         epoll.failing = {"modify"}
-        selector.modify(mine, 3, "both")
+        selector.modify(own, 3, "both")
         assert selector.select(0)[0][1] == 3
         epoll.failing = {"unregister"}
-        selector.unregister(mine)
+        selector.unregister(own)
         assert selector.select(0) == []
-        selector.register(mine, 1)  # the number comes again, whatever the kernel has of it
+        selector.register(own, 1)  # the descriptor is registered again, whatever the kernel still has of it
         assert selector.select(0)[0][1] == 1
         assert epoll.failures == 3
 
 
-def test_a_lasting_failure_makes_no_wait_endless_and_no_loop_spin(pair):
+def test_with_a_lasting_failure_a_wait_ends_and_does_not_spin(pair):
     epoll = FailingEpoll(errno.ENOSPC, every=1)
     with RetryingEpollSelector(epoll) as selector:
         selector.register(pair[0], 1)
         pair[1].send(b"x")
-        begun = time.monotonic()
+        started = time.monotonic()
         assert [selector.select(None) for _ in range(5)] == [[]] * 5
-        assert 0.02 <= time.monotonic() - begun < 1
+        assert 0.02 <= time.monotonic() - started < 1
         epoll.every = 0
         assert selector.select(None)[0][1] == 1
 
 
-def test_a_failure_that_does_not_pass_is_told_at_once():
+def test_a_permanent_failure_is_raised_at_once():
     with RetryingEpollSelector() as selector, open(__file__) as file:
         with pytest.raises(PermissionError):  # epoll watches no regular files
             selector.register(file, 1)
@@ -196,7 +196,7 @@
             selector.get_key(file)
 
 
-def test_the_programs_run_on_a_loop_with_that_selector():
+def test_the_programs_event_loop_uses_the_retrying_selector():
     loop = new_event_loop()
     assert isinstance(loop._selector, RetryingEpollSelector)
     loop.close()
