--- a/tests/platform/test_system_calls.py
+++ b/tests/platform/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, as Linux documents it: nobody pays for that with a request."""
+"""System calls that fail temporarily, as Linux documents: no request is lost."""
 
 from __future__ import annotations
 
@@ -70,12 +70,12 @@
 
 @pytest.mark.parametrize("failure", FAILURES, ids=lambda failure: errno.errorcode[failure])
 @pytest.mark.parametrize("stopping", [False, True])
-def test_who_connects_while_accepting_fails_is_answered(tmp_path, monkeypatch, failure, stopping):
+def test_clients_that_connect_while_accept_fails_are_answered(tmp_path, monkeypatch, failure, stopping):
     fail_every_second_accept(monkeypatch, failure)
 
     async def ask_on_new_connection(stage, id):
         client = await stage.client()
-        await asyncio.sleep(0.01)  # it has been accepted, and what it asks is on its way
+        await asyncio.sleep(0.01)  # let the gateway accept it before it sends its request
         return await client.ask(id)
 
     async def go():
@@ -91,19 +91,19 @@
 
 
 @pytest.mark.parametrize("failure", FAILURES, ids=lambda failure: errno.errorcode[failure])
-def test_connections_that_wait_at_the_end_are_taken_though_accepting_fails(failure):
-    """The listener closes after this: whoever still waits there would be reset."""
+def test_waiting_connections_are_accepted_at_the_end_though_accept_fails(failure):
+    """The listener is closed after this, which resets connections that still wait to be accepted."""
 
     listener = sockets.listening("127.0.0.1:0")
     waiting = [socket.create_connection(listener.getsockname()) for _ in range(5)]
-    taken = []
-    sockets.accept_waiting(FailingListener(listener, failure), taken.append)
-    assert len(taken) == len(waiting)
-    for sock in (listener, *waiting, *taken):
+    accepted = []
+    sockets.accept_waiting(FailingListener(listener, failure), accepted.append)
+    assert len(accepted) == len(waiting)
+    for sock in (listener, *waiting, *accepted):
         sock.close()
 
 
-class OptionsFail(socket.socket):
+class OptionFailingSocket(socket.socket):
     """A socket of which the first calls of `setsockopt` fail."""
 
     failures = 1
@@ -117,7 +117,7 @@
 
 
 def with_options_that_fail(sock, failure, failures):
-    failing = OptionsFail(fileno=sock.detach())
+    failing = OptionFailingSocket(fileno=sock.detach())
     failing.failure, failing.failures = failure, failures
     return failing
 
@@ -131,12 +131,12 @@
 
 @pytest.mark.parametrize("failures", [1, 2, 1000])
 @pytest.mark.parametrize("failure", OPTION_FAILURES, ids=lambda failure: errno.errorcode[failure])
-def test_a_connection_whose_options_can_not_be_set_is_answered(tmp_path, monkeypatch, failure, failures):
-    """`setsockopt` fails with ENOBUFS or ENOMEM, as Linux documents it, on every second connection just accepted.
+def test_a_client_whose_socket_options_can_not_be_set_is_answered(tmp_path, monkeypatch, failure, failures):
+    """`setsockopt` fails with ENOBUFS or ENOMEM, which Linux documents, on every second accepted connection.
 
-    Its client was reset before its first answer (7 of 200 requests): `Stream` sets TCP_NODELAY as it begins, and the
-    error went up into `accept_all`, which let the socket go. What the option is for can wait: it is tried again with
-    each write.
+    Clients were reset before their first answer (7 of 200 requests): `Stream` sets TCP_NODELAY when it is created, and
+    the error was raised into `accept_all`, which dropped the socket. The option only saves time, so it is set again
+    with each write.
     """
     accepted = []
 
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize("failure", OPTION_FAILURES, ids=lambda failure: errno.errorcode[failure])
-def test_a_connection_to_a_store_whose_options_can_not_be_set_is_used(tmp_path, monkeypatch, failure):
+def test_a_connection_to_a_store_is_used_though_its_options_can_not_be_set(tmp_path, monkeypatch, failure):
     def open_failing(address):
         return with_options_that_fail(socket.socket(), failure, 1)
 
@@ -181,8 +181,8 @@
 
 @pytest.mark.parametrize("call", ["setsockopt", "bind", "listen"])
 @pytest.mark.parametrize("failure", OPTION_FAILURES, ids=lambda failure: errno.errorcode[failure])
-def test_a_listener_is_there_though_a_call_fails_for_a_moment_at_the_start(monkeypatch, call, failure):
-    """The gateway ended with code 2 and served nobody."""
+def test_a_listener_is_opened_though_a_call_fails_temporarily_at_the_start(monkeypatch, call, failure):
+    """Because of such a failure the gateway ended with code 2 and served nobody."""
     failures = []
 
     class Failing(socket.socket):
@@ -204,11 +204,11 @@
 @pytest.mark.parametrize(
     "failure", [errno.EMFILE, errno.ENFILE, errno.ENOMEM], ids=lambda failure: errno.errorcode[failure]
 )
-@pytest.mark.parametrize("made", ["epoll", "socketpair"])
-def test_the_loop_is_made_though_the_system_lacks_something_for_a_moment(monkeypatch, failure, made):
-    """`epoll_create` or the loop's own pair of sockets failed once, and the program ended at its start."""
-    module = select if made == "epoll" else socket
-    real, failures = getattr(module, made), []
+@pytest.mark.parametrize("function", ["epoll", "socketpair"])
+def test_the_event_loop_is_created_though_a_call_fails_temporarily(monkeypatch, failure, function):
+    """One failure of `epoll_create`, or of the event loop's own socket pair, ended the program at its start."""
+    module = select if function == "epoll" else socket
+    real, failures = getattr(module, function), []
 
     def fail_twice(*arguments):
         if len(failures) < 2:
@@ -216,24 +216,26 @@
             raise OSError(failure, "for a moment")
         return real(*arguments)
 
-    monkeypatch.setattr(module, made, fail_twice)
+    monkeypatch.setattr(module, function, fail_twice)
     assert sockets.run(lambda: asyncio.sleep(0, "done")) == "done"
     assert len(failures) == 2
 
 
 @pytest.mark.parametrize("failure", [errno.EINTR, errno.EIO], ids=lambda failure: errno.errorcode[failure])
 def test_a_close_that_fails_ends_only_its_connection(tmp_path, monkeypatch, failure):
-    """close(2) documents EINTR and EIO; the descriptor is gone all the same. The failure went up through whoever closed
-    the connection: the requests of the clients behind it in one look of the gateway were not looked at."""
+    """close(2) documents EINTR and EIO, and frees the descriptor all the same.
+
+    The error was raised to the caller, so the clients after that one in the same round of checks were skipped.
+    """
     failures = []
 
-    class CloseFails(socket.socket):
+    class CloseFailingSocket(socket.socket):
         def close(self):
             super().close()
             failures.append(failure)
             raise OSError(failure, "for a moment")
 
-    change_accepted(monkeypatch, lambda sock, number: CloseFails(fileno=sock.detach()))
+    change_accepted(monkeypatch, lambda sock, number: CloseFailingSocket(fileno=sock.detach()))
 
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
@@ -248,45 +250,45 @@
     play(go())
 
 
-def test_an_address_that_is_taken_is_told_at_once():
-    taken = sockets.listening("127.0.0.1:0")
+def test_an_address_in_use_is_reported_at_once():
+    listener = sockets.listening("127.0.0.1:0")
     with pytest.raises(OSError) as raised:
-        sockets.listening(f"127.0.0.1:{taken.getsockname()[1]}")
+        sockets.listening(f"127.0.0.1:{listener.getsockname()[1]}")
     assert raised.value.errno == errno.EADDRINUSE
-    taken.close()
+    listener.close()
 
 
-def test_no_descriptor_costs_no_client_that_has_begun_to_ask(tmp_path):
-    """EMFILE is ours to mend by closing what idles, never whoever is new or in the middle of a request."""
+def test_without_descriptors_no_client_with_a_partial_request_is_closed(tmp_path):
+    """On EMFILE the gateway closes idle clients, but none that is new or in the middle of a request."""
 
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
-            begun, rested = await stage.client(), await stage.client()
-            assert (await rested.ask(1)).status == 200
-            begun.writer.write(b"GET /api/")
+            partial, idle = await stage.client(), await stage.client()
+            assert (await idle.ask(1)).status == 200
+            partial.writer.write(b"GET /api/")
             await asyncio.sleep(periodic_checks.CHECK_INTERVAL + 0.1)
             new = await stage.client()
             await until(lambda: len(stage.gateway.clients.conns) == 3)
             for _ in range(3):
                 stage.gateway.stores.free_descriptors()
-            assert await rested.ended()
-            begun.writer.write(b"x HTTP/1.1\r\nHost: a\r\n\r\n")
-            assert (await begun.answer()).status == 404
+            assert await idle.ended()
+            partial.writer.write(b"x HTTP/1.1\r\nHost: a\r\n\r\n")
+            assert (await partial.answer()).status == 404
             assert (await new.ask(2)).status == 200
 
     play(go())
 
 
-def test_a_lack_of_descriptors_sheds_one_client_a_turn(tmp_path, monkeypatch):
-    """Failures in one turn of the loop are one lack: what was closed for the first has not been of use yet."""
+def test_a_lack_of_descriptors_closes_one_client_per_iteration(tmp_path, monkeypatch):
+    """Failures in one iteration of the event loop count as one: the client closed for the first has not helped yet."""
     fail_every_second_accept(monkeypatch, errno.EMFILE)
 
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
-            resting = [await stage.client() for _ in range(12)]
-            for id, client in enumerate(resting, 1):
+            idle = [await stage.client() for _ in range(12)]
+            for id, client in enumerate(idle, 1):
                 assert (await client.ask(id)).status == 200
             await asyncio.sleep(0.4)
             ends = stage.gateway.counts.client_ends
@@ -300,8 +302,8 @@
     play(go())
 
 
-def test_a_connect_that_fails_here_for_a_moment_says_nothing_of_the_store(tmp_path, monkeypatch):
-    """Every third connect finds no free port: no hand-off fails, and the store is not taken for one that restarted."""
+def test_a_temporary_local_connect_failure_is_no_failure_of_the_store(tmp_path, monkeypatch):
+    """Every third connect finds no free port: no hand-off fails, and the store does not count as restarted."""
     connects = []
     real = socket.socket.connect
 
@@ -318,9 +320,9 @@
             monkeypatch.setattr(
                 "tansykeel.platform.connection.open_socket", lambda address: FailingSocket(socket.AF_INET)
             )
-            for round in range(4):
+            for batch in range(4):
                 clients = [await stage.client() for _ in range(6)]
-                answers = await asyncio.gather(*(c.ask(10 * round + n) for n, c in enumerate(clients, 1)))
+                answers = await asyncio.gather(*(c.ask(10 * batch + n) for n, c in enumerate(clients, 1)))
                 assert [answer and answer.status for answer in answers] == [200] * 6
                 stage.gateway.stores.free_descriptors()
             assert len(connects) > 8
@@ -330,14 +332,12 @@
 
 
 @pytest.mark.parametrize("failure", [errno.ETIMEDOUT, errno.EHOSTUNREACH], ids=lambda failure: errno.errorcode[failure])
-def test_a_connection_to_a_store_that_breaks_in_other_ways_than_a_reset_is_no_end_of_an_answer(
-    tmp_path, monkeypatch, failure
-):
-    """The head says no length, so only an orderly end would make the part that came a whole answer."""
+def test_a_failure_other_than_a_reset_does_not_complete_an_answer(tmp_path, monkeypatch, failure):
+    """The head states no length, so only an orderly end would complete the part that was received."""
     opened = []
 
     class BreakingSocket(socket.socket):
-        """The first one opened breaks once a part of an answer was read."""
+        """A socket of which the first one opened fails once it has read a part of an answer."""
 
         def recv(self, size, *flags):
             if self is opened[0] and self.has_read and not flags:
@@ -363,7 +363,7 @@
             client.writer.write(asking(1))
             await until(lambda: opened and opened[0].has_read)
             for writer in store.writers:
-                writer.write(b" more")  # what wakes the loop to find the break
+                writer.write(b" more")  # wakes the event loop, which then finds the failure
             answer = await client.answer()
             assert (answer.status, answer.body) == (200, b"whole")
             assert stage.gateway.core.counts.outcomes == {"reset": 1, "delivered": 1}
