--- a/tests/platform/test_epoll_failures.py
+++ b/tests/platform/test_epoll_failures.py
@@ -1,11 +1,12 @@
 """`epoll_ctl` fails with ENOMEM or ENOSPC, which Linux documents: the gateway must keep working.
 
 With uvloop (libuv) a gateway was ended by signal 6, with all tasks that it held, and 193 of 200 requests found no
-gateway. libuv calls `epoll_ctl` twice for each new descriptor. If the first call failed, the error was raised to the caller: a client that had just been
-accepted was reset, or the process ended with code 1 at its start or served nobody. That a failure of the second call
-ends the process is only suspected. With the nth call failing once (n from 1 to 60, 40 clients, 200 requests), 40 runs
-lost 5 requests and two lost all; signal 6 did not occur in them. The event loop is now asyncio's, on a selector that
-remembers what should be registered and tries again: all 200 requests were answered in all 60 runs.
+gateway. libuv calls `epoll_ctl` twice for each new descriptor. If the first call failed, the error was raised to the
+caller: a client that had just been accepted was reset, or the process ended with code 1 at its start or served nobody.
+That a failure of the second call ends the process is only suspected. With the nth call failing once (n from 1 to 60, 40
+clients, 200 requests), 40 runs lost 5 requests and two lost all; signal 6 did not occur in them. The event loop is now
+asyncio's, on a selector that remembers what should be registered and tries again: all 200 requests were answered in all
+60 runs.
 """
 
 from __future__ import annotations
