--- a/tansykeel/platform/pool.py
+++ b/tansykeel/platform/pool.py
@@ -30,7 +30,7 @@
 
     connect_timeout: float  # seconds
     longest_deadline: float  # seconds, the longest deadline of all task categories
-    idle_limit: float  # seconds for which a connection may idle and still be used
+    idle_limit: float  # seconds for which a connection may be idle and still be reused
     counts: EventCounts
 
     def clock(self) -> int:
@@ -118,7 +118,7 @@
             self._cancel_sent(connection, attempt)
 
     def _cancel_sent(self, connection: StoreConnection, attempt: Attempt) -> None:
-        """Cancel an attempt that is at least partly written, by closing its connection."""
+        """Cancel an attempt that was passed to a connection, by closing that connection."""
         connection.attempt = None
         connection.close(StoreConnectionEnd.GIVEN_UP)
         self.gateway.record_outcome_later(attempt, How.CANCELLED)
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -14,7 +14,9 @@
 from tansykeel.platform.pool import COOL_DOWN, Pool
 from tansykeel.platform.request_rules import Verdict, Violations, attempt_may_begin, violation_of_attempt
 
-IDLE_FRACTION = 0.8  # of the store's own idle timeout, after which the gateway closes an idle connection first
+IDLE_FRACTION = (
+    0.8  # of the store's own idle timeout; the gateway closes an idle connection then, before the store does
+)
 STALE_FACTOR = 0.5  # once a connection was found stale, the idle limit is its idle time times this
 IDLE_LIMIT_GROWTH = 1.1  # factor by which the idle limit recovers at each periodic check
 _NUMBER = re.compile(rb"[0-9]{1,6}(?:\.[0-9]{1,6})?")
@@ -112,7 +114,8 @@
     def may_begin(self, attempt: Attempt) -> Verdict:
         """Return whether the attempt may be written now, later or never.
 
-        Everything that its client has sent, end of stream included, and what discovery has sent has to be read first.
+        Everything that its client has sent, end of stream included, has to be read first and, after a stall of the
+        process, everything that discovery has sent.
         """
         client: Client = attempt.held.client
         caught_up = client.stream.quiet()
@@ -158,10 +161,7 @@
             self.call_soon(self._open_next)
 
     def _open_next(self) -> None:
-        """Let waiting pools open connections while that is allowed.
-
-        All of them are tried in turn, as a pool may no longer need a connection.
-        """
+        """Let waiting pools open connections while that is allowed; a pool that no longer needs one opens none."""
         for pool in list(self._waiting_for_room):
             if not self.may_open_connection(evict=False):
                 return
