--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -26,7 +26,7 @@
 from tansykeel.platform.event_counts import EventCounts
 from tansykeel.platform.event_log import standard_output
 from tansykeel.platform.intake import Reader, Wanted
-from tansykeel.platform.periodic_checks import LOOK, PeriodicChecks
+from tansykeel.platform.periodic_checks import CHECK_INTERVAL, PeriodicChecks
 from tansykeel.platform.request_rules import Invariant, Violations, answer_ends_connection
 from tansykeel.platform.stall_detector import StallDetector
 from tansykeel.platform.start_signals import StartSignals
@@ -60,7 +60,7 @@
         self.loop, limits = loop, config.file.limits
         self.violations = Violations(log)
         self.counts = EventCounts(log if os.environ.get(TRACE_VARIABLE) == "1" else None)
-        self.stalls = StallDetector(LOOK, loop.time())
+        self.stalls = StallDetector(CHECK_INTERVAL, loop.time())
         self.checks = PeriodicChecks(self, log)
         self.reminder = WakeupTimer(self._tick)
         self.stopping = asyncio.Event()
@@ -118,7 +118,7 @@
             clock,
             loop.time,
             self.stores.list_changed,
-            self.stores.pressure,
+            self.stores.free_descriptors,
             log,
         )
 
@@ -136,17 +136,17 @@
         )
         handlers = {signal.SIGTERM: self.stop, signal.SIGINT: self.stop, signal.SIGHUP: self.read_anew}
         (signals or StartSignals()).hand_over(loop, handlers)
-        self.discovery.ask()
+        self.discovery.ensure_watch()
         with suppress(TimeoutError):
             # Guards against a send on the word of `known`: the agent may hold a drain that it has not.
-            await asyncio.wait_for(self.discovery.first.wait(), FIRST_LIST)
-        accepting = loop.create_task(accept_all(listener, self.clients.accept, self.stores.pressure))
+            await asyncio.wait_for(self.discovery.first_list.wait(), FIRST_LIST)
+        accepting = loop.create_task(accept_all(listener, self.clients.accept, self.stores.free_descriptors))
         log(
             "ready",
             name=file.name,
             listen=file.listen,
             clients=self.clients.most,
-            stores=self.stores.most,
+            stores=self.stores.max_connections,
             memory_mb=file.limits.memory_mb,
             cores=file.limits.cores,
             known=len(self.core.stores),
@@ -166,7 +166,7 @@
         listener.close()
         await self._end(killed)
         looking.cancel()
-        self.discovery.end()
+        self.discovery.stop()
         self.checks.report()
         log("stopped", left_unanswered=len(self.open))
         return 0
@@ -227,7 +227,7 @@
         if config.file.settings != self.config.file.settings:
             log("other settings are taken at the next start only")
         self.config = config
-        self.discovery.move(config.file.discovery)
+        self.discovery.change_address(config.file.discovery)
 
     # What clients say
 
@@ -315,7 +315,7 @@
 
     def request_store_list(self) -> None:
         if self._discovery:  # not yet there while the core is made
-            self._discovery.ask()
+            self._discovery.ensure_watch()
 
     def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         pass  # the platform has no way between gateways that its settings allow
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -129,7 +129,7 @@
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             assert (await client.ask(1)).body == b"x" * 400_000
-            stage.gateway.stores.most_bytes = 200_000
+            stage.gateway.stores.max_answer_bytes = 200_000
             assert (await client.ask(2)).status == 503
             assert stage.gateway.core.counts.outcomes == {"delivered": 1, "error": 3}
 
@@ -138,22 +138,22 @@
 
 def test_kept_connections_are_trusted_less_once_one_was_found_dead(tmp_path, monkeypatch):
     """Guards against connections that are dropped unseen while they idle: each costs its task a hand-off."""
-    monkeypatch.setattr("tansykeel.platform.connection.STALE_WITHIN", 5.0)
+    monkeypatch.setattr("tansykeel.platform.connection.STALE_WINDOW", 5.0)
 
     async def go():
         store = Store("s0", 0)
         async with staged(tmp_path, store) as stage:
             stores, client = stage.gateway.stores, await stage.client()
-            assert (await client.ask(1)).status == 200 and stores.trusted == 12.0
+            assert (await client.ask(1)).status == 200 and stores.idle_limit == 12.0
             await asyncio.sleep(0.1)
             store.reply = lambda request: b"" if len(store.got) == 2 else ok()
             assert (await client.ask(2)).status == 200 and len(store.got) == 3 and len(store.writers) == 2
-            assert 0.05 <= stores.trusted < 1.0
-            await asyncio.sleep(2 * stores.trusted)
+            assert 0.05 <= stores.idle_limit < 1.0
+            await asyncio.sleep(2 * stores.idle_limit)
             assert (await client.ask(3)).status == 200 and len(store.writers) == 3
             for _ in range(80):
-                stores.look()
-            assert stores.trusted == 12.0
+                stores.check_timeouts()
+            assert stores.idle_limit == 12.0
 
     play(go())
 
@@ -166,16 +166,16 @@
             gateway, client = stage.gateway, await stage.client()
             await until(lambda: gateway.core.list_version >= 0)
             right, gateway.core.addresses[gateway.core.stores["s0"]] = store.address, "127.0.0.1:1"
-            look, left = gateway.stores.room, [fails]
+            look, left = gateway.stores.may_open_connection, [fails]
 
-            def room(make=True):
-                if make and not left[0]:
+            def room(evict=True):
+                if evict and not left[0]:
                     gateway.core.addresses[gateway.core.stores["s0"]] = right
-                elif make:
+                elif evict:
                     left[0] -= 1
-                return look(make)
+                return look(evict)
 
-            gateway.stores.room = room
+            gateway.stores.may_open_connection = room
             assert (await client.ask(1)).status == 200
             assert gateway.core.counts.outcomes == ends and len(store.got) == 1
 
@@ -238,10 +238,10 @@
             await other.start()
             gateway, client = stage.gateway, await stage.client()
             await until(lambda: gateway.core.list_version >= 0)
-            gateway.stores.room = lambda make=True: False  # as if no descriptor were left
+            gateway.stores.may_open_connection = lambda evict=True: False  # as if no descriptor were left
             client.writer.write(asking(1))
             await until(lambda: any(pool.waiting for pool in gateway.stores.pools.values()))
-            del gateway.stores.room
+            del gateway.stores.may_open_connection
             stage.list.tell([store.row(phase="Terminating"), other.row()])
             assert (await client.answer()).status == 200 and not store.got and len(other.got) == 1
             await other.stop()
@@ -332,7 +332,7 @@
     async def go():
         store = Store("s0", 0, lambda request: ok())
         async with staged(tmp_path, store) as stage:
-            stage.gateway.stores.most = 1
+            stage.gateway.stores.max_connections = 1
             store.reply = lambda request: b"" if len(store.got) == 1 else ok()
             clients = [await stage.client() for _ in range(3)]
             answers = await asyncio.gather(*(client.ask(id) for id, client in enumerate(clients, 1)))
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -33,8 +33,8 @@
 
 def closed_to_new(stage, here):
     """No connection to a store may be opened, as if no descriptor were left, while `here` holds."""
-    room, stores = stage.gateway.stores.room, stage.gateway.stores
-    stores.room = lambda make=True: not here and room(make)
+    room, stores = stage.gateway.stores.may_open_connection, stage.gateway.stores
+    stores.may_open_connection = lambda evict=True: not here and room(evict)
     return room
 
 
@@ -51,7 +51,7 @@
             await until(lambda: any(pool.waiting for pool in stores.pools.values()))
             leave(client, way)
             await left(stage)
-            stores.room = room
+            stores.may_open_connection = room
             for pool in stores.pools.values():
                 pool.serve_waiting()
             other = await stage.client()
@@ -83,7 +83,7 @@
             leave(client, way)
             await left(stage)
             assert time.monotonic() - begun < 2.0  # before its time is up
-            stores.room = room
+            stores.may_open_connection = room
             assert (await (await stage.client()).ask(3)).status == 200
             assert [request.fields[b"x-txn"][-1:] for request in store.got] == [b"3"]
 
@@ -130,14 +130,14 @@
         failure = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         store = Store("s0", 0, lambda request: failure if request.fields[b"x-txn"][-1:] == b"1" else ok())
         async with staged(tmp_path, store, settings=settings) as stage:
-            client, answered = connected(stage), stage.gateway.stores.answered
+            client, answered = connected(stage), stage.gateway.stores.answer_received
 
             def leaves_then(attempt, answer):
                 if answer.status == 500:
                     leave(client, way)
                 answered(attempt, answer)
 
-            stage.gateway.stores.answered = leaves_then
+            stage.gateway.stores.answer_received = leaves_then
             client.send(asking(1))
             await left(stage)
             assert (await (await stage.client()).ask(2)).status == 200
@@ -158,14 +158,14 @@
             for id, client in enumerate(clients, 1):
                 client.send(asking(id))
             await until(lambda: store.got and stage.gateway.core.counts.taken == 20)
-            answered = stage.gateway.stores.answered
+            answered = stage.gateway.stores.answer_received
 
             def leave_then(attempt, answer):
                 while clients:
                     leave(clients.pop(), "closes")
                 answered(attempt, answer)
 
-            stage.gateway.stores.answered = leave_then
+            stage.gateway.stores.answer_received = leave_then
             begun = {request.fields[b"x-txn"] for request in store.got}
             store.writers[0].write(ok())
             await left(stage, 19)  # one has its answer
