--- a/tansykeel/platform/clients.py
+++ b/tansykeel/platform/clients.py
@@ -258,7 +258,7 @@
         if begun:
             begun.turn_away(503)
 
-    def make_place(self) -> bool:
+    def close_one_for_descriptor(self) -> bool:
         """A descriptor is needed at once: close who was told of it longest ago, else who can best be spared."""
         told = next((client for client in self.lingering if not client.stream.unsent), None)
         if client := told or self._spare(self.now() - BRIEF):
@@ -267,7 +267,7 @@
 
     def _make_place_for_new(self) -> bool:
         """As `make_place`; in a flood the oldest of those that have said nothing yet goes, however new it is."""
-        if self.make_place():
+        if self.close_one_for_descriptor():
             return True
         oldest = next((client for client in self.silent if client.has_said_nothing), None)
         if oldest:
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -89,7 +89,7 @@
 
     def pressure(self) -> None:
         """No descriptor is left: close what idles."""
-        self.clients.make_place()
+        self.clients.close_one_for_descriptor()
         for pool in self.pools.values():
             pool.close_idle(StoreConnectionEnd.ROOM)
 
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -28,12 +28,12 @@
             slow.writer.write(asking(1, connection=connection))
             await until(lambda: any(client.stream.unsent for client in clients.conns))
             clients.make_room()
-            assert not clients.make_place()
+            assert not clients.close_one_for_descriptor()
             clients.close_idle()
             clients.look()
             slow.writer.transport.resume_reading()
             assert len((await slow.answer()).body) == 1_000_000
-            await until(lambda: clients.make_place() or not clients.conns)
+            await until(lambda: clients.close_one_for_descriptor() or not clients.conns)
 
     play(go())
 
