--- a/tansykeel/platform/clients.py
+++ b/tansykeel/platform/clients.py
@@ -16,7 +16,7 @@
 UNASKED = 2.0  # seconds for a whole request, from the connection's start or the request's first byte
 IDLE = 30.0  # seconds after which a connection that asked before and idles is closed
 SPARED = 2.0  # seconds for which one that idles is kept though there is a crowd
-BRIEF = 0.25  # seconds for which one is kept, silent or idle, though others need its place
+EVICTION_GRACE = 0.25  # seconds for which one is kept, silent or idle, though others need its place
 CROWD = 0.25  # part of all connections that may be held from which there is a crowd
 LINGER = 1.0  # seconds that a client which was told an error has to read it
 MOST_DRAINED = 256 << 10  # bytes read and let go meanwhile
@@ -251,7 +251,7 @@
     def make_room(self) -> None:
         """Guards against a crowd that is silent or stays: not against one that asks. A client that has only just
         connected has its request on the way; one that has begun to ask is told to come back."""
-        before = self.now() - BRIEF
+        before = self.now() - EVICTION_GRACE
         if client := self._spare(before):
             return self._shed(client, "made room", client.end, ClientEnd.ROOM)
         begun = next((client for client in self.silent if client.reader.partial and client.since <= before), None)
@@ -261,7 +261,7 @@
     def close_one_for_descriptor(self) -> bool:
         """A descriptor is needed at once: close who was told of it longest ago, else who can best be spared."""
         told = next((client for client in self.lingering if not client.stream.unsent), None)
-        if client := told or self._spare(self.now() - BRIEF):
+        if client := told or self._spare(self.now() - EVICTION_GRACE):
             self._shed(client, "made room", client.close, ClientEnd.ROOM)
         return client is not None
 
@@ -302,7 +302,7 @@
     def close_idle(self) -> None:
         """End all that have no request open and none on the way, as far as can be seen from here: who has only just
         connected, or had an answer, is given time to ask."""
-        before = self.now() - BRIEF
+        before = self.now() - EVICTION_GRACE
         for client in list(self.conns):
             if client.idle and client.since <= before and client.stream.quiet():
                 self._shed(client, "the gateway ends", client.end, ClientEnd.GATEWAY_ENDS)
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -298,7 +298,7 @@
             idle = await stage.client()
             assert (await idle.ask(1)).status == 200
             refused = no_descriptors(monkeypatch, discovery_module, 3)
-            monkeypatch.setattr("tansykeel.platform.clients.BRIEF", 0.0)
+            monkeypatch.setattr("tansykeel.platform.clients.EVICTION_GRACE", 0.0)
             stage.list.revision += 1
             stage.list.writers[0].transport.abort()
             await until(lambda: stage.gateway.core.list_version == 6)
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -15,7 +15,7 @@
 @pytest.mark.parametrize("connection", ["keep-alive", "close"])
 def test_a_client_that_reads_slowly_keeps_its_place_until_its_answer_is_whole(tmp_path, monkeypatch, connection):
     """Guards against making room with a connection whose answer has not left yet: the task would be lost."""
-    monkeypatch.setattr("tansykeel.platform.clients.BRIEF", 0.0)
+    monkeypatch.setattr("tansykeel.platform.clients.EVICTION_GRACE", 0.0)
     monkeypatch.setattr("tansykeel.platform.clients.LINGER", 0.0)
 
     async def go():
--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -267,7 +267,7 @@
     async def go():
         store = Store("s0", 0)
         async with staged(tmp_path, store) as stage:
-            monkeypatch.setattr("tansykeel.platform.clients.BRIEF", 0.0)
+            monkeypatch.setattr("tansykeel.platform.clients.EVICTION_GRACE", 0.0)
             await stage.client()
             refused = no_descriptors(monkeypatch, connection_module, 3)
             assert (await (await stage.client()).ask(1)).status == 200
