--- a/tansykeel/platform/clients.py
+++ b/tansykeel/platform/clients.py
@@ -290,7 +290,7 @@
         """Bytes of requests that are not whole, or wait behind another."""
         return sum(client.reader.size for client in self.conns)
 
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes of answers that clients have not taken yet."""
         return sum(len(client.stream.unsent) for client in self.conns)
 
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -116,7 +116,9 @@
     def held_bytes(self) -> int:
         """Return the bytes of answers that are not whole, or that clients have not taken yet."""
         connections = (connection for pool in self.pools.values() for connection in pool.connections)
-        return self.clients.unsent() + sum(connection.reader.size for connection in connections if connection.reader)
+        return self.clients.unsent_bytes() + sum(
+            connection.reader.size for connection in connections if connection.reader
+        )
 
     def answers_exceed_memory(self) -> bool:
         """Whether the answers held take more memory than they may."""
