--- a/tansykeel/platform/clients.py
+++ b/tansykeel/platform/clients.py
@@ -152,7 +152,7 @@
         self._reads = self._reads + 1 if self.reader.partial else 0
         self.reader.feed(data, self.owner.received_at(self.stream, self._reads > MANY_READS))
         # Guards against many that send large bodies and never end them: the memory is not theirs alone.
-        crammed = self.reader.size > codec.MOST_HEAD and self.owner.unread() > self.owner.most_bytes
+        crammed = self.reader.size > codec.MOST_HEAD and self.owner.unread_bytes() > self.owner.most_bytes
         if self.open is not None:
             # Guards against a client whose end stands unread behind what it sent ahead: it is read to its end, within
             # a bound, so that nothing begins for one that has gone.
@@ -286,7 +286,7 @@
         """Guards against clients that ask once and stay for good: they take the connections that the others need."""
         return len(self.conns) - len(self.lingering) > self.most * CROWD
 
-    def unread(self) -> int:
+    def unread_bytes(self) -> int:
         """Bytes of requests that are not whole, or wait behind another."""
         return sum(client.reader.size for client in self.conns)
 
