--- a/tansykeel/platform/clients.py
+++ b/tansykeel/platform/clients.py
@@ -184,7 +184,7 @@
     def _ended(self, why: str) -> None:
         self.close(ClientEnd.BY_CLIENT if self.stream.finished else ClientEnd.BROKEN)
 
-    def look(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """End the connection if it stalls, says nothing or idles for too long."""
         waited = now - self.since
         if self.open is not None:
@@ -294,10 +294,10 @@
         """Bytes of answers that clients have not taken yet."""
         return sum(len(client.stream.unsent) for client in self.conns)
 
-    def look(self) -> None:
+    def check_timeouts(self) -> None:
         now = self.now()
         for client in list(self.conns):
-            client.look(now)
+            client.check_timeouts(now)
 
     def close_idle(self) -> None:
         """End all that have no request open and none on the way, as far as can be seen from here: who has only just
--- a/tansykeel/platform/periodic_checks.py
+++ b/tansykeel/platform/periodic_checks.py
@@ -66,7 +66,12 @@
                 # Guards against a process that stood still: what came meanwhile is read before time is up for anyone.
                 await asyncio.sleep(READ_FIRST)
             self.gateway.stalls.beat(self.now())
-            for look in (gateway.clients.look, gateway.stores.look, gateway.discovery.look, self._answer_overdue):
+            for look in (
+                gateway.clients.check_timeouts,
+                gateway.stores.look,
+                gateway.discovery.look,
+                self._answer_overdue,
+            ):
                 self._guarded(look)
             if self.now() >= tidy:
                 # Guards against tasks and connections that ended and hold each other: the interpreter collects old
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -273,9 +273,9 @@
             clients: Clients = stage.gateway.clients
             first = await stage.client()
             assert (await first.ask(1)).status == 200
-            clients.look()
+            clients.check_timeouts()
             await asyncio.sleep(0.1)
-            clients.look()
+            clients.check_timeouts()
             assert len(clients.conns) == 1  # no crowd yet
             clients.most = 8
             for id in range(2, 4):
