--- a/tansykeel/platform/connection.py
+++ b/tansykeel/platform/connection.py
@@ -11,7 +11,7 @@
 from tansykeel.http1.codec import AnswerReader, Malformed
 from tansykeel.interface import How
 from tansykeel.platform.event_counts import StoreConnectionEnd
-from tansykeel.platform.intake import Wanted
+from tansykeel.platform.intake import TaskRequest
 from tansykeel.transport.sockets import address_of, open_socket
 from tansykeel.transport.stream import Stream
 
@@ -106,7 +106,7 @@
 
     def send(self, attempt: Attempt, now: int) -> None:
         """Write the attempt's request; `now` by the core's clock."""
-        wanted: Wanted = attempt.held.request
+        wanted: TaskRequest = attempt.held.request
         request = wanted.request
         seconds_left = max(attempt.deadline - now, 0) / TICKS_PER_SECOND
         self.attempt = attempt
--- a/tansykeel/platform/intake.py
+++ b/tansykeel/platform/intake.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(eq=False, slots=True)  # not frozen: that costs a call for each field
-class Wanted:
+class TaskRequest:
     """A request that has the form of one; `patience` in tenths from when its last byte came."""
 
     request: Request
@@ -48,7 +48,7 @@
         self.plans = {plan.name.encode(): plan for plan in facts.plans}
         self.volumes: OrderedDict[tuple[bytes, str], Volume] = OrderedDict()
 
-    def wanted(self, request: Request) -> Wanted:
+    def wanted(self, request: Request) -> TaskRequest:
         """Raises Malformed for what can't be a task: syntax, and names that the settings don't have."""
         fields = request.fields
         path = _PATH.fullmatch(request.target)
@@ -71,7 +71,7 @@
         if extent is None or not 0 < float(extent[1]) <= max(self.largest, 1.0) or float(extent[3]) < 1:
             raise Malformed("x-extent is not units=,shard=,hosts= within the settings")
         patience = int(min(float(left) * TENTHS, category.deadline))
-        return Wanted(
+        return TaskRequest(
             request,
             id.lower(),
             path[1].lower(),
@@ -86,7 +86,7 @@
         )
 
     def parse(self, now: int, request: Any) -> ParsedRequest:
-        assert isinstance(request, Wanted)
+        assert isinstance(request, TaskRequest)
         name = request.volume, request.plan.name
         volume = self.volumes.get(name)
         if volume is None:
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -25,7 +25,7 @@
 from tansykeel.platform.discovery import Discovery, RowReader
 from tansykeel.platform.event_counts import EventCounts
 from tansykeel.platform.event_log import standard_output
-from tansykeel.platform.intake import Reader, Wanted
+from tansykeel.platform.intake import Reader, TaskRequest
 from tansykeel.platform.periodic_checks import LOOK, PeriodicChecks
 from tansykeel.platform.request_rules import Invariant, Violations, answer_ends_connection
 from tansykeel.platform.stall_detector import StallDetector
@@ -255,7 +255,7 @@
         del self.open[client.open]
         self.core.cancel_task(clock(), client, client.open)
 
-    def _answer_failed(self, client: Client, wanted: Wanted) -> None:
+    def _answer_failed(self, client: Client, wanted: TaskRequest) -> None:
         """Guards against a fault of our own that would leave a request without its answer."""
         if client.open != wanted.id:
             return
@@ -272,7 +272,7 @@
         sent()
         if self.open.pop(held.id, None) is None:
             return self.violations.report(Invariant.ONE_ANSWER, id=held.id, result=final.result)
-        wanted: Wanted = held.request
+        wanted: TaskRequest = held.request
         last = self._ends_with_answer(client, wanted.request)
         if final.result == DELIVERED:
             data = codec.answer(200, body[0], last=last)
