--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -134,7 +134,7 @@
         loop.set_exception_handler(
             lambda _, context: self.failed(str(context.get("message")), context.get("exception"))
         )
-        handlers = {signal.SIGTERM: self.stop, signal.SIGINT: self.stop, signal.SIGHUP: self.read_anew}
+        handlers = {signal.SIGTERM: self.stop, signal.SIGINT: self.stop, signal.SIGHUP: self.reload_config}
         (signals or StartSignals()).hand_over(loop, handlers)
         self.discovery.ask()
         with suppress(TimeoutError):
@@ -195,7 +195,7 @@
             await asyncio.sleep(0.02)
         self.clients.close_all()
 
-    def read_anew(self, received_at: float | None = None) -> None:
+    def reload_config(self, received_at: float | None = None) -> None:
         """SIGHUP: discovery may have moved. All else is taken at the start only."""
         if self._reading_again:
             self._reading_again.cancel()
--- a/tests/platform/test_config.py
+++ b/tests/platform/test_config.py
@@ -73,7 +73,7 @@
             await until(lambda: stage.gateway.core.list_version == 5)
             configuration(tmp_path, other.address)
             failed = fail_to_read(monkeypatch, failure, 2)
-            stage.gateway.read_anew()
+            stage.gateway.reload_config()
             await until(lambda: other.asked)
             assert len(failed) == 2
         await other.stop()
@@ -88,9 +88,9 @@
             await until(lambda: stage.gateway.core.list_version == 5)
             configuration(tmp_path, second.address)
             fail_to_read(monkeypatch, errno.EIO, 1)
-            stage.gateway.read_anew()
+            stage.gateway.reload_config()
             configuration(tmp_path, third.address)
-            stage.gateway.read_anew()
+            stage.gateway.reload_config()
             await until(lambda: third.asked)
             assert not second.asked
         await second.stop()
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -40,13 +40,13 @@
             gateway = stage.gateway
             await until(lambda: gateway.core.list_version == 5)
             gateway.path = str(tmp_path / "missing.json")
-            gateway.read_anew()  # a file that can't be read changes nothing
+            gateway.reload_config()  # a file that can't be read changes nothing
             assert len(gateway.discovery.watches) == 1
             gateway.path = str(stage.path)
             moved = await List().start()
             moved.revision, moved.rows = 9, stage.list.rows
             configuration(tmp_path, moved.address)
-            gateway.read_anew()
+            gateway.reload_config()
             assert len(gateway.discovery.watches) == 2
             await until(lambda: gateway.core.list_version == 9)
             assert [watch.host.decode() for watch in gateway.discovery.watches] == [moved.address]
@@ -205,7 +205,7 @@
 
 def moving(stage, moved, tmp_path):
     configuration(tmp_path, moved if isinstance(moved, str) else moved.address)
-    stage.gateway.read_anew()
+    stage.gateway.reload_config()
 
 
 @pytest.mark.parametrize("first", ["refused", "end", "silent"])
--- a/tests/platform/test_ending.py
+++ b/tests/platform/test_ending.py
@@ -263,7 +263,7 @@
             assert await stage.serving == 0
             moved = await List().start()
             configuration(tmp_path, moved.address)
-            stage.gateway.read_anew()
+            stage.gateway.reload_config()
             assert not stage.gateway.discovery.watches
             await moved.stop()
 
