--- a/tansykeel/platform/periodic_checks.py
+++ b/tansykeel/platform/periodic_checks.py
@@ -15,7 +15,7 @@
 from tansykeel.platform.discovery import Discovery
 from tansykeel.platform.event_counts import EventCounts
 from tansykeel.platform.request_rules import Invariant, Violations, is_overdue
-from tansykeel.platform.stall_detector import MARGIN, StallDetector
+from tansykeel.platform.stall_detector import BEAT_TOLERANCE, StallDetector
 from tansykeel.platform.stores import Stores
 
 LOOK = 0.25  # seconds between looks at what idles, stalls or fell silent
@@ -62,7 +62,7 @@
             due = self.now() + LOOK
             await asyncio.sleep(LOOK)
             late = max(late, self.now() - due)
-            if self.now() - due > MARGIN:
+            if self.now() - due > BEAT_TOLERANCE:
                 # Guards against a process that stood still: what came meanwhile is read before time is up for anyone.
                 await asyncio.sleep(READ_FIRST)
             self.gateway.stalls.beat(self.now())
--- a/tansykeel/platform/stall_detector.py
+++ b/tansykeel/platform/stall_detector.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-MARGIN = 0.05  # seconds by which a beat may be late on a busy machine
+BEAT_TOLERANCE = 0.05  # seconds by which a beat may be late on a busy machine
 CATCHING_UP = 0.5  # seconds after a stall in which connections are accepted and read that waited through it
 
 
@@ -22,7 +22,7 @@
 
     def beat(self, now: float) -> None:
         """The loop has read its sockets and runs."""
-        if now - self._last_beat > self.period + MARGIN:
+        if now - self._last_beat > self.period + BEAT_TOLERANCE:
             self.stalls += 1
             self._stalled_since = self._last_beat
             self._catching_up_until = now + CATCHING_UP
@@ -30,7 +30,7 @@
 
     def longest_unread(self, now: float) -> float:
         """Return the seconds for which bytes read now may have waited at most; 0 while the loop runs as it should."""
-        if now - self._last_beat > self.period + MARGIN:
+        if now - self._last_beat > self.period + BEAT_TOLERANCE:
             return now - self._last_beat
         if now < self._catching_up_until:
             return now - self._stalled_since
