--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -337,7 +337,7 @@
         """Return when the bytes came that were read from the stream just now, by the core's clock. `late`: they may
         have waited although the loop runs as it should, for reads were short."""
         now = self.loop.time()
-        if not self.stalls.longest_unread(now):
+        if not self.stalls.max_unread_age(now):
             age = min(seconds_since_data(stream.sock) or 0.0, MOST_READ_FOR) if late else 0.0
             return clock() - int(age * TICKS_PER_SECOND)
         age = self.stalls.age_of_bytes(now, seconds_since_data(stream.sock))
@@ -345,7 +345,7 @@
 
     def _list_caught_up(self) -> bool:
         """Whether all that discovery has said was read; looked at only where the loop has stood still."""
-        if not self.stalls.longest_unread(self.loop.time()):
+        if not self.stalls.max_unread_age(self.loop.time()):
             return True
         return self.discovery.caught_up()
 
--- a/tansykeel/platform/stall_detector.py
+++ b/tansykeel/platform/stall_detector.py
@@ -28,7 +28,7 @@
             self._catching_up_until = now + CATCHING_UP
         self._last_beat = now
 
-    def longest_unread(self, now: float) -> float:
+    def max_unread_age(self, now: float) -> float:
         """Return the seconds for which bytes read now may have waited at most; 0 while the loop runs as it should."""
         if now - self._last_beat > self.period + BEAT_TOLERANCE:
             return now - self._last_beat
@@ -41,7 +41,7 @@
 
         Without the kernel's word the whole stall counts, less a period in which the loop may still have run.
         """
-        longest = self.longest_unread(now)
+        longest = self.max_unread_age(now)
         if kernel_age is not None:
             return min(kernel_age, longest)
         return max(longest - self.period, 0.0)
