--- a/tansykeel/platform/clients.py
+++ b/tansykeel/platform/clients.py
@@ -1,4 +1,8 @@
-"""Clients' connections: requests one at a time, an error for what can't be read, and an end for what says nothing."""
+"""Client connections: serves requests one at a time, rejects malformed ones and closes idle or stalled connections.
+
+Connections that the gateway ends are closed in one direction first and read for a while (a lingering close), since
+closing a socket with unread bytes resets the connection and may destroy an answer that the client has not read yet.
+"""
 
 from __future__ import annotations
 
@@ -13,313 +17,338 @@
 from tansykeel.platform.request_rules import connection_may_end
 from tansykeel.transport.stream import Stream
 
-UNASKED = 2.0  # seconds for a whole request, from the connection's start or the request's first byte
-IDLE = 30.0  # seconds after which a connection that asked before and idles is closed
-SPARED = 2.0  # seconds for which one that idles is kept though there is a crowd
-EVICTION_GRACE = 0.25  # seconds for which one is kept, silent or idle, though others need its place
-CROWD = 0.25  # part of all connections that may be held from which there is a crowd
-LINGER = 1.0  # seconds that a client which was told an error has to read it
-MOST_DRAINED = 256 << 10  # bytes read and let go meanwhile
-MOST_AHEAD = 80 << 10  # bytes read ahead of a request that is not answered yet; who sends more is told an error
-LINGERING = 8  # places for those that were ended and may still send
-MANY_READS = 32  # reads of one request, after which its last byte may have come long before it is read
-STALL = 5.0  # seconds in which a client takes none of its answer
-SLOWEST = 30.0  # seconds in which it has to have taken all of it
+REQUEST_TIMEOUT = 2.0  # seconds for a whole request, from the connection's start or the request's first byte
+IDLE_TIMEOUT = 30.0  # seconds after which an idle connection that has sent a request before is closed
+CROWDED_IDLE_TIMEOUT = 2.0  # the same while `Clients.is_crowded`
+EVICTION_GRACE = 0.25  # seconds before a connection that is idle or sends no request may be evicted for another
+CROWDED_FRACTION = 0.25  # of the most connections: with more than that open, the gateway is crowded
+LINGER = 1.0  # seconds for which a connection that the gateway ends is still read after its half-close
+MAX_DRAINED_BYTES = 256 << 10  # read and discarded while a connection is ended
+MAX_PIPELINED_BYTES = 80 << 10  # read behind a request that is not answered yet; a client that sends more gets a 413
+LINGERING_RESERVE = 8  # connections of the maximum that are kept free for ones in a lingering close
+MANY_READS = 32  # reads of one request, after which its last byte may have arrived long before it is read
+WRITE_STALL_TIMEOUT = 5.0  # seconds in which a client takes no byte of its answer
+WRITE_TIMEOUT = 30.0  # seconds in which a client has to take its whole answer
 
-ERRORS = {status: codec.answer(status, last=True) for status in codec.REASONS if status >= 400}
+ERROR_RESPONSES = {status: codec.answer(status, last=True) for status in codec.REASONS if status >= 400}
 
 
 class Handler(Protocol):
-    """Each call is answered by `Client.answer` or `Client.turn_away`, now or later."""
+    """Receives the requests of all clients."""
+
+    def request(self, client: Client, request: Request) -> None:
+        """Handle a request; it is answered with `Client.answer` or `Client.reject`, now or later."""
 
-    def request(self, client: Client, request: Request) -> None: ...
-    def client_left(self, client: Client) -> None: ...
+    def client_disconnected(self, client: Client) -> None:
+        """Cancel the client's open request: its connection was closed or the request rejected."""
 
 
 class Client:
-    """`open`: the id of its request that is not answered."""
+    """One client connection. `open_request`: the id of its request that is not answered yet, if it has one."""
 
     __slots__ = (
         "owner",
         "stream",
         "reader",
         "since",
-        "asked",
-        "open",
+        "requests",
+        "open_request",
         "ending",
-        "closed_half",
+        "half_closed",
         "drained",
         "end_reason",
-        "_busy",
+        "_processing",
         "_reads",
-        "_left",
-        "_took",
+        "_unsent_before",
+        "_last_progress",
     )
 
     def __init__(self, owner: Clients, sock: socket.socket) -> None:
         self.owner, self.reader = owner, RequestReader()
-        self.stream = Stream(sock, self._data, self._ended)
-        self.since = owner.now()  # when it began to idle, to send a request, or to be told an error
-        self.asked = 0
-        self.open: bytes | None = None
-        self.ending = self.closed_half = self._busy = False
-        self.drained = 0
-        self.end_reason: ClientEnd | None = None  # once it is settled that it ends
-        self._reads = 0  # since the request that is coming began
-        self._left, self._took = 0, self.since  # of its answer not taken at the last look; when it last took some
+        self.stream = Stream(sock, self._data_received, self._stream_ended)
+        self.since = owner.now()  # when it became idle, began to send a request, was answered or began to end
+        self.requests = 0  # received whole on this connection
+        self.open_request: bytes | None = None
+        self.ending = self.half_closed = self._processing = False
+        self.drained = 0  # bytes read and discarded since it began to end
+        self.end_reason: ClientEnd | None = None  # set once the gateway has begun to end it
+        self._reads = 0  # since the first byte of the request that is being received
+        # Unsent bytes of the answer at the last check, and when their number last changed.
+        self._unsent_before, self._last_progress = 0, self.since
         self.stream.read()
 
     @property
     def idle(self) -> bool:
-        """Whether it has had its answers whole and nothing was read of a further request."""
+        """Whether all its answers were sent whole and no byte of a further request was read."""
         return not self.ending and connection_may_end(
-            has_open_request=self.open is not None,
+            has_open_request=self.open_request is not None,
             has_sent_more=self.reader.partial or self.reader.waits,
             has_unsent_answer=bool(self.stream.unsent),
         )
 
     @property
     def has_sent_more(self) -> bool:
-        """Whether more has come than the open request, read or not: whole requests, a part of one, or an end."""
+        """Whether anything arrived behind the open request, read or not: requests, a part of one, or an end of file."""
         return self.reader.waits or self.reader.partial or not self.stream.quiet()
 
     def answer(self, data: bytes, last: bool) -> None:
-        """The answer to its open request; `last`: the connection ends with it."""
-        self.open = None
+        """Send the answer to the open request; with `last` the connection ends after it."""
+        self.open_request = None
         self.since = self.owner.now()
-        self.owner.resting[self] = None
+        self.owner.keep_alive[self] = None
         self.stream.write(data)
         if last:
             self._linger(ClientEnd.LAST_ANSWER)
-        elif self.reader.waits and not self._busy:
-            self.owner.later(self._next)
-
-    def turn_away(self, status: int) -> None:
-        """Tell an error and end the connection. A request that is open is given up: this is its answer."""
-        if self.open is not None:
-            self.owner.handler.client_left(self)
-        self.open = None
+        elif self.reader.waits and not self._processing:
+            self.owner.later(self._process_requests)
+
+    def reject(self, status: int) -> None:
+        """Send an error and end the connection. The error is the answer of an open request, which is cancelled."""
+        if self.open_request is not None:
+            self.owner.handler.client_disconnected(self)
+        self.open_request = None
         self.since = self.owner.now()
         self.owner.errors[status] += 1
-        self.stream.write(ERRORS[status])
+        self.stream.write(ERROR_RESPONSES[status])
         self._linger(ClientEnd.REJECTED)
 
     def end(self, reason: ClientEnd) -> None:
-        """End the connection between requests. Guards against a request that comes in this moment: a close over
-        unread bytes would reset the connection, and an answer that its client has not read would go with it."""
+        """End the connection between requests, with a lingering close: a request may arrive at this moment, and
+        closing over its unread bytes would reset the connection and lose an answer that the client has not read."""
         self.since = self.owner.now()
         self._linger(reason)
 
     @property
-    def has_said_nothing(self) -> bool:
-        """Whether it has not asked yet and no byte of a request has come, read or not."""
-        return not (self.asked or self.ending or self.reader.partial) and self.stream.quiet()
+    def has_sent_nothing(self) -> bool:
+        """Whether no byte of a first request has arrived, read or not."""
+        return not (self.requests or self.ending or self.reader.partial) and self.stream.quiet()
 
     def close(self, reason: ClientEnd) -> None:
-        """Close the connection at once. A request that is open is given up."""
+        """Close the connection at once; an open request is cancelled."""
         if self in self.owner.conns:
-            self.owner.counts.client_ended(self.end_reason or reason, self.asked)
-        for held in (self.owner.conns, self.owner.silent, self.owner.resting, self.owner.lingering):
+            self.owner.counts.client_ended(self.end_reason or reason, self.requests)
+        for held in (self.owner.conns, self.owner.awaiting_request, self.owner.keep_alive, self.owner.lingering):
             held.pop(self, None)
         self.stream.close()
-        if self.open is not None:
-            self.owner.handler.client_left(self)
+        if self.open_request is not None:
+            self.owner.handler.client_disconnected(self)
 
     def _linger(self, reason: ClientEnd) -> None:
-        """Guards against an error that a client which is still sending never reads: a close with bytes unread
-        would reset the connection, so it is closed in one direction and read for a while."""
+        """Begin a lingering close: half-close the connection once its answer is sent, and read on for a while.
+
+        A client that is still sending would otherwise never read the error that it was sent: a close with unread
+        bytes resets the connection.
+        """
         self.ending = True
         self.end_reason = self.end_reason or reason
-        self.owner.resting.pop(self, None)
-        self.owner.silent.pop(self, None)
+        self.owner.keep_alive.pop(self, None)
+        self.owner.awaiting_request.pop(self, None)
         self.owner.lingering[self] = None
         self.reader.clear()
         if not self.stream.unsent:
             self._half_close()
 
     def _half_close(self) -> None:
-        self.closed_half = True
+        self.half_closed = True
         self.stream.half_close()
 
-    def _data(self, data: bytes) -> None:
+    def _data_received(self, data: bytes) -> None:
         if self.ending:
             self.drained += len(data)
-            if self.drained > MOST_DRAINED:
+            if self.drained > MAX_DRAINED_BYTES:
                 self.stream.read(False)
             return
-        if self.open is None and not self.reader.partial:
+        if self.open_request is None and not self.reader.partial:
             self.since = self.owner.now()
         self._reads = self._reads + 1 if self.reader.partial else 0
         self.reader.feed(data, self.owner.received_at(self.stream, self._reads > MANY_READS))
-        # Guards against many that send large bodies and never end them: the memory is not theirs alone.
-        crammed = self.reader.size > codec.MOST_HEAD and self.owner.unread_bytes() > self.owner.most_bytes
-        if self.open is not None:
-            # Guards against a client whose end stands unread behind what it sent ahead: it is read to its end, within
-            # a bound, so that nothing begins for one that has gone.
-            if crammed or self.reader.size > MOST_AHEAD:
-                self.turn_away(413)
-        elif crammed:
-            self.turn_away(503)
+        # Bounds the memory of all clients together: many may send large bodies and never complete them.
+        out_of_memory = self.reader.size > codec.MOST_HEAD and self.owner.unread_bytes() > self.owner.max_unread_bytes
+        if self.open_request is not None:
+            # Pipelined bytes are read, within a bound, to find an end of file behind them, so that no attempt begins
+            # for a client that has disconnected.
+            if out_of_memory or self.reader.size > MAX_PIPELINED_BYTES:
+                self.reject(413)
+        elif out_of_memory:
+            self.reject(503)
         else:
-            self._next()
+            self._process_requests()
 
-    def _next(self) -> None:
-        """Take what is there, one request after the other's answer."""
-        self._busy = True
+    def _process_requests(self) -> None:
+        """Handle the requests that were read whole, up to the first that is not answered at once."""
+        self._processing = True
         try:
-            while self.open is None and not self.ending and not self.stream.closed:
+            while self.open_request is None and not self.ending and not self.stream.closed:
                 try:
                     request = self.reader.next()
                 except Malformed as error:
-                    return self.turn_away(error.status)
+                    return self.reject(error.status)
                 if request is None:
                     break
-                self.asked += 1
-                self.owner.silent.pop(self, None)
-                self.owner.resting.pop(self, None)
+                self.requests += 1
+                self.owner.awaiting_request.pop(self, None)
+                self.owner.keep_alive.pop(self, None)
                 self.owner.handler.request(self, request)
         finally:
-            self._busy = False
+            self._processing = False
 
-    def _ended(self, why: str) -> None:
+    def _stream_ended(self, why: str) -> None:
         self.close(ClientEnd.BY_CLIENT if self.stream.finished else ClientEnd.BROKEN)
 
     def check_timeouts(self, now: float) -> None:
-        """End the connection if it stalls, says nothing or idles for too long."""
+        """End the connection if it has stalled, sent no whole request or idled for too long."""
         waited = now - self.since
-        if self.open is not None:
+        if self.open_request is not None:
             pass
         elif self.stream.unsent:
-            # Guards against an end under an answer that its client takes slowly: only one that takes none stalls.
-            if len(self.stream.unsent) != self._left:
-                self._left, self._took = len(self.stream.unsent), now
-            if now - max(self.since, self._took) > STALL:
+            # A client that takes its answer slowly is not stalled: one that takes no byte of it is.
+            if len(self.stream.unsent) != self._unsent_before:
+                self._unsent_before, self._last_progress = len(self.stream.unsent), now
+            if now - max(self.since, self._last_progress) > WRITE_STALL_TIMEOUT:
                 self.close(ClientEnd.STALLED)
-            elif waited > SLOWEST:
+            elif waited > WRITE_TIMEOUT:
                 self.close(ClientEnd.SLOW)
         elif self.ending:
-            if not self.closed_half:
-                self.since = now  # it has all of its answer from now on
+            if not self.half_closed:
+                self.since = now  # the whole answer has been sent; LINGER runs from here
                 self._half_close()
             elif waited > LINGER:
                 self.close(ClientEnd.LAST_ANSWER)
-        elif self.reader.partial or not self.asked:
-            # Here and below: guards against an end over a request that has come and is not read yet, after a stall.
-            if waited > UNASKED and self.stream.quiet():
-                self.turn_away(408)
-        elif waited > (SPARED if self.owner.crowded() else IDLE) and self.stream.quiet():
+        elif self.reader.partial or not self.requests:
+            # `quiet` here and below: after a stall of the gateway, a request may have arrived that is not read yet.
+            if waited > REQUEST_TIMEOUT and self.stream.quiet():
+                self.reject(408)
+        elif waited > (CROWDED_IDLE_TIMEOUT if self.owner.is_crowded() else IDLE_TIMEOUT) and self.stream.quiet():
             self.end(ClientEnd.IDLE)
 
 
 class Clients:
-    """All of them, `most` at once, with `most_bytes` of requests that are not taken yet.
+    """All client connections, `max_connections` at once, with `max_unread_bytes` of requests that are not handled yet.
 
-    Who has said nothing for a while makes room first, then who idles longest.
+    Connections that have sent nothing for a while are evicted first, then those that have been idle for longest.
     """
 
     def __init__(
         self,
         handler: Handler,
-        most: int,
-        most_bytes: int,
+        max_connections: int,
+        max_unread_bytes: int,
         now: Callable[[], float],
         later: Callable[[Callable[[], None]], object],
         received_at: Callable[[Stream, bool], int],
         counts: EventCounts,
     ) -> None:
-        """`received_at(stream, late)`: when the bytes came that were read from a stream just now, by the core's clock;
-        `late`: whether they may have waited although the loop runs as it should."""
-        self.handler, self.most, self.most_bytes, self.now, self.later = handler, most, most_bytes, now, later
+        """`received_at(stream, late)` returns, by the core's clock, when the bytes arrived that were just read from a
+        stream; `late`: they may have waited to be read although the event loop was not stalled."""
+        self.handler, self.max_connections, self.max_unread_bytes, self.now, self.later = (
+            handler,
+            max_connections,
+            max_unread_bytes,
+            now,
+            later,
+        )
         self.received_at, self.counts = received_at, counts
         self.conns: dict[Client, None] = {}
-        self.silent: dict[Client, None] = {}  # of them, without a whole request, the oldest first
-        self.resting: dict[Client, None] = {}  # had an answer, the one longest ago first
-        self.lingering: dict[Client, None] = {}  # ended here or told an error, the one longest ago first
-        self.errors = Counter[int]()  # told to clients, by status
-        self.unanswered = Counter[str]()  # new connections that were closed here with no answer, by cause
+        self.awaiting_request: dict[Client, None] = {}  # no whole request received yet, oldest connection first
+        self.keep_alive: dict[Client, None] = {}  # answered and waiting for a further request, longest ago first
+        self.lingering: dict[Client, None] = {}  # in a lingering close, the one begun longest ago first
+        self.errors = Counter[int]()  # error answers sent, by status
+        self.unanswered = Counter[str]()  # connections that the gateway ended before their first request, by cause
 
     def accept(self, sock: socket.socket) -> None:
-        if len(self.conns) >= self.most - LINGERING and len(self.lingering) < LINGERING:
+        """Take a new connection, evicting another one if there are too many; close it if none can be evicted."""
+        if len(self.conns) >= self.max_connections - LINGERING_RESERVE and len(self.lingering) < LINGERING_RESERVE:
             self.make_room()
-        if len(self.conns) >= self.most and not self._make_place_for_new():
+        if len(self.conns) >= self.max_connections and not self._close_one_for_new():
             self.unanswered["no room"] += 1
             sock.close()
             return
         client = Client(self, sock)
-        self.conns[client] = self.silent[client] = None
+        self.conns[client] = self.awaiting_request[client] = None
 
     def make_room(self) -> None:
-        """Guards against a crowd that is silent or stays: not against one that asks. A client that has only just
-        connected has its request on the way; one that has begun to ask is told to come back."""
+        """End one connection so that new ones find room, if one is idle or sends no whole request.
+
+        A connection younger than EVICTION_GRACE is kept, since its request may be on the way. One that has sent a part
+        of its first request is rejected with 503. A connection with an open request is never ended here.
+        """
         before = self.now() - EVICTION_GRACE
-        if client := self._spare(before):
-            return self._shed(client, "made room", client.end, ClientEnd.ROOM)
-        begun = next((client for client in self.silent if client.reader.partial and client.since <= before), None)
-        if begun:
-            begun.turn_away(503)
+        if client := self._eviction_candidate(before):
+            return self._evict(client, "made room", client.end, ClientEnd.ROOM)
+        partial = next(
+            (client for client in self.awaiting_request if client.reader.partial and client.since <= before), None
+        )
+        if partial:
+            partial.reject(503)
 
     def close_one_for_descriptor(self) -> bool:
-        """A descriptor is needed at once: close who was told of it longest ago, else who can best be spared."""
-        told = next((client for client in self.lingering if not client.stream.unsent), None)
-        if client := told or self._spare(self.now() - EVICTION_GRACE):
-            self._shed(client, "made room", client.close, ClientEnd.ROOM)
+        """Close a connection at once to free its descriptor: the one that has lingered for longest with its answer
+        sent, else an eviction candidate. Return whether there was one."""
+        lingering = next((client for client in self.lingering if not client.stream.unsent), None)
+        if client := lingering or self._eviction_candidate(self.now() - EVICTION_GRACE):
+            self._evict(client, "made room", client.close, ClientEnd.ROOM)
         return client is not None
 
-    def _make_place_for_new(self) -> bool:
-        """As `make_place`; in a flood the oldest of those that have said nothing yet goes, however new it is."""
+    def _close_one_for_new(self) -> bool:
+        """As `close_one_for_descriptor`; where that finds none, as in a flood of new connections, close the oldest that
+        has sent nothing, whatever its age."""
         if self.close_one_for_descriptor():
             return True
-        oldest = next((client for client in self.silent if client.has_said_nothing), None)
+        oldest = next((client for client in self.awaiting_request if client.has_sent_nothing), None)
         if oldest:
-            self._shed(oldest, "made room, new", oldest.close, ClientEnd.ROOM)
+            self._evict(oldest, "made room, new", oldest.close, ClientEnd.ROOM)
         return oldest is not None
 
-    def _spare(self, before: float) -> Client | None:
-        """Who has said nothing since `before` for longest, else who idles since then for longest."""
-        silent = next((client for client in self.silent if client.has_said_nothing), None)
-        if silent and silent.since <= before:
-            return silent
-        resting = next((client for client in self.resting if client.idle and client.stream.quiet()), None)
-        return resting if resting and resting.since <= before else None
+    def _eviction_candidate(self, before: float) -> Client | None:
+        """Return the oldest connection that has sent nothing since `before`, else the one idle for longest since
+        then."""
+        unused = next((client for client in self.awaiting_request if client.has_sent_nothing), None)
+        if unused and unused.since <= before:
+            return unused
+        idle = next((client for client in self.keep_alive if client.idle and client.stream.quiet()), None)
+        return idle if idle and idle.since <= before else None
 
-    def crowded(self) -> bool:
-        """Guards against clients that ask once and stay for good: they take the connections that the others need."""
-        return len(self.conns) - len(self.lingering) > self.most * CROWD
+    def is_crowded(self) -> bool:
+        """Whether so many connections are open that idle ones are closed early. Clients that send one request and keep
+        their connection would otherwise take the ones that others need."""
+        return len(self.conns) - len(self.lingering) > self.max_connections * CROWDED_FRACTION
 
     def unread_bytes(self) -> int:
-        """Bytes of requests that are not whole, or wait behind another."""
+        """Return the bytes of requests that are incomplete or pipelined behind an open one."""
         return sum(client.reader.size for client in self.conns)
 
     def unsent_bytes(self) -> int:
-        """Bytes of answers that clients have not taken yet."""
+        """Return the bytes of answers that clients have not taken yet."""
         return sum(len(client.stream.unsent) for client in self.conns)
 
     def check_timeouts(self) -> None:
+        """End every connection that has stalled, sent no whole request or idled for too long."""
         now = self.now()
         for client in list(self.conns):
             client.check_timeouts(now)
 
     def close_idle(self) -> None:
-        """End all that have no request open and none on the way, as far as can be seen from here: who has only just
-        connected, or had an answer, is given time to ask."""
+        """End all idle connections with nothing left to read. One that was opened or answered within EVICTION_GRACE is
+        kept, since its next request may be on the way."""
         before = self.now() - EVICTION_GRACE
         for client in list(self.conns):
             if client.idle and client.since <= before and client.stream.quiet():
-                self._shed(client, "the gateway ends", client.end, ClientEnd.GATEWAY_ENDS)
+                self._evict(client, "the gateway ends", client.end, ClientEnd.GATEWAY_ENDS)
 
-    def turn_away_begun(self) -> None:
-        """Refuse whoever has begun to ask and not ended."""
+    def reject_partial_requests(self) -> None:
+        """Reject with 503 every client whose request is incomplete."""
         for client in list(self.conns):
-            if client.open is None and client.reader.partial and not client.ending:
-                client.turn_away(503)
+            if client.open_request is None and client.reader.partial and not client.ending:
+                client.reject(503)
 
     def close_all(self) -> None:
-        """The end: who lingers has had all that it was owed."""
+        """Close all connections as the gateway ends, lingering ones too: their answers were sent."""
         for client in list(self.conns):
             client.stream.discard()
             client.close(ClientEnd.GATEWAY_ENDS)
 
-    def _shed(self, client: Client, cause: str, end: Callable[[ClientEnd], None], reason: ClientEnd) -> None:
-        if not client.asked and not client.ending:
+    def _evict(self, client: Client, cause: str, end: Callable[[ClientEnd], None], reason: ClientEnd) -> None:
+        """End a connection with `end(reason)`; counted in `unanswered` by `cause` if it has sent no whole request."""
+        if not client.requests and not client.ending:
             self.unanswered[cause] += 1
         end(reason)
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -145,7 +145,7 @@
             "ready",
             name=file.name,
             listen=file.listen,
-            clients=self.clients.most,
+            clients=self.clients.max_connections,
             stores=self.stores.most,
             memory_mb=file.limits.memory_mb,
             cores=file.limits.cores,
@@ -189,7 +189,7 @@
         """Answer all that is held and whatever still comes, send nothing on, and let the answers leave."""
         self.core.stop()
         self.core.answer_all(clock())
-        self.clients.turn_away_begun()
+        self.clients.reject_partial_requests()
         while self.clients.conns and self.loop.time() < killed - FLUSHES_BEFORE:
             self.clients.close_idle()
             await asyncio.sleep(0.02)
@@ -240,9 +240,9 @@
             if wanted.id in self.open:
                 raise Malformed("the id of a request that is still open", 409)
         except Malformed as error:
-            return client.turn_away(error.status)
+            return client.reject(error.status)
         self.counts.trace("taken", id=wanted.id, target=request.target, left_ms=wanted.patience / 10)
-        client.open = wanted.id
+        client.open_request = wanted.id
         self.open[wanted.id] = client
         try:
             self.core.receive_task(clock(), client, wanted.id, wanted)
@@ -250,14 +250,14 @@
             self.failed("a request was not taken", error)
             self._answer_failed(client, wanted)
 
-    def client_left(self, client: Client) -> None:
-        assert client.open is not None
-        del self.open[client.open]
-        self.core.cancel_task(clock(), client, client.open)
+    def client_disconnected(self, client: Client) -> None:
+        assert client.open_request is not None
+        del self.open[client.open_request]
+        self.core.cancel_task(clock(), client, client.open_request)
 
     def _answer_failed(self, client: Client, wanted: TaskRequest) -> None:
         """Guards against a fault of our own that would leave a request without its answer."""
-        if client.open != wanted.id:
+        if client.open_request != wanted.id:
             return
         self.violations.report(Invariant.ANSWER_BEFORE_CLOSE, id=wanted.id)
         self.core.cancel_task(clock(), client, wanted.id)
--- a/tests/platform/test_ending.py
+++ b/tests/platform/test_ending.py
@@ -26,7 +26,7 @@
         ("FLUSHES_BEFORE", 0.1),
     ):
         monkeypatch.setattr(program, name, seconds)
-    monkeypatch.setattr("tansykeel.platform.clients.UNASKED", 10.0)
+    monkeypatch.setattr("tansykeel.platform.clients.REQUEST_TIMEOUT", 10.0)
 
 
 def test_sigterm_serves_on_for_a_while_then_closes_what_idles_and_answers_what_it_holds(tmp_path):
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -253,7 +253,7 @@
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
             clients: Clients = stage.gateway.clients
-            clients.most = 6
+            clients.max_connections = 6
             usual = await stage.client()
             assert (await usual.ask(1)).status == 200
             for _ in range(30):
@@ -266,7 +266,7 @@
 
 
 def test_who_asked_once_and_stays_is_let_go_where_there_is_a_crowd(tmp_path, monkeypatch):
-    monkeypatch.setattr("tansykeel.platform.clients.SPARED", 0.05)
+    monkeypatch.setattr("tansykeel.platform.clients.CROWDED_IDLE_TIMEOUT", 0.05)
 
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
@@ -277,7 +277,7 @@
             await asyncio.sleep(0.1)
             clients.check_timeouts()
             assert len(clients.conns) == 1  # no crowd yet
-            clients.most = 8
+            clients.max_connections = 8
             for id in range(2, 4):
                 assert (await (await stage.client()).ask(id)).status == 200
             await until(lambda: len(clients.conns) == 2)
@@ -287,7 +287,7 @@
 
 
 def test_silence_and_half_requests_end_in_time(tmp_path, monkeypatch):
-    monkeypatch.setattr("tansykeel.platform.clients.UNASKED", 0.1)
+    monkeypatch.setattr("tansykeel.platform.clients.REQUEST_TIMEOUT", 0.1)
 
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
@@ -313,7 +313,7 @@
     async def go():
         store = Store("s0", 0)
         async with staged(tmp_path, store) as stage:
-            stage.gateway.clients.most_bytes = 100_000
+            stage.gateway.clients.max_unread_bytes = 100_000
             first, second = await stage.client(), await stage.client()
             for client in (first, second):
                 client.writer.write(asking(1, body=b"x" * 60_000)[:-1])
