--- a/tansykeel/platform/clients.py
+++ b/tansykeel/platform/clients.py
@@ -38,9 +38,11 @@
 
     def request(self, client: Client, request: Request) -> None:
         """Handle a request; it is answered with `Client.answer` or `Client.reject`, now or later."""
+        ...
 
     def client_disconnected(self, client: Client) -> None:
         """Cancel the client's open request: its connection was closed or the request rejected."""
+        ...
 
 
 class Client:
@@ -72,7 +74,7 @@
         self.ending = self.half_closed = self._processing = False
         self.drained = 0  # bytes read and discarded since it began to end
         self.end_reason: ClientEnd | None = None  # set once the gateway has begun to end it
-        self._reads = 0  # since the first byte of the request that is being received
+        self._reads = 0  # reads since the first byte of the request that is being received
         # Unsent bytes of the answer at the last check, and when their number last changed.
         self._unsent_before, self._last_progress = 0, self.since
         self.stream.read()
