--- a/tansykeel/platform/intake.py
+++ b/tansykeel/platform/intake.py
@@ -1,4 +1,4 @@
-"""Reads what the platform's clients ask for: fields to a task, or the reason why it can't be one."""
+"""Parses the platform's client requests: header fields to a task, or the reason why a request describes no task."""
 
 from __future__ import annotations
 
@@ -12,9 +12,11 @@
 from tansykeel.interface import Category, Facts, Plan, Task, Volume
 from tansykeel.settings.facts import TENTH
 
-MOST_VOLUMES = 4_096  # volumes known at once; the one not asked for longest is let go
-SPARE = 1_000  # tenths before a client's time is up at which its answer is due, though the processor be busy
-TENTHS = 10**9 / TENTH  # in a second
+MAX_VOLUMES = 4_096  # kept at once; the least recently used one is dropped
+# Ticks (tenths of a millisecond) by which a task's deadline is before its client's, so that the answer arrives in time
+# also when the processor is busy. At most half of the client's time.
+DEADLINE_MARGIN = 1_000
+TICKS_PER_SECOND = 10**9 / TENTH
 
 _PATH = re.compile(rb"/(?:[^?#]*/)?([0-9A-Fa-f]{16})/([0-9A-Fa-f]{16})(?:\?[^#]*)?")
 _ID = re.compile(rb"[0-9A-Fa-f]{16}")
@@ -24,7 +26,8 @@
 
 @dataclass(eq=False, slots=True)  # not frozen: that costs a call for each field
 class TaskRequest:
-    """A request that has the form of one; `patience` in tenths from when its last byte came."""
+    """A valid request for a task. `time_left` is in ticks (tenths of a millisecond) from when its last byte came;
+    `gateways` is the number of gateways that share the volume; `resent`: the client has sent the task before."""
 
     request: Request
     id: bytes
@@ -32,15 +35,16 @@
     key: int
     category: Category
     plan: Plan
-    patience: int
+    time_left: int
     units: float
     shard: int
-    hosts: float
-    again: bool
+    gateways: float
+    resent: bool
 
 
-class Reader:
-    """The core's request parser. Volumes are met as they come; one that names another plan is another volume."""
+class RequestParser:
+    """The core's request parser. Volumes are created as requests name them; the same volume id with another plan is
+    another volume."""
 
     def __init__(self, facts: Facts) -> None:
         self.largest = facts.sizes.largest
@@ -48,12 +52,13 @@
         self.plans = {plan.name.encode(): plan for plan in facts.plans}
         self.volumes: OrderedDict[tuple[bytes, str], Volume] = OrderedDict()
 
-    def wanted(self, request: Request) -> TaskRequest:
-        """Raises Malformed for what can't be a task: syntax, and names that the settings don't have."""
+    def parse_task(self, request: Request) -> TaskRequest:
+        """Return the task that a request describes. Raises Malformed for bad syntax, and for classes and plans that the
+        settings don't have."""
         fields = request.fields
         path = _PATH.fullmatch(request.target)
         if path is None:
-            raise Malformed("a path that does not end with volume and data, 16 hex digits each", 404)
+            raise Malformed("the path does not end with a volume and a data id of 16 hex digits each", 404)
         id = fields.get(b"x-txn", b"")
         if not _ID.fullmatch(id):
             raise Malformed("x-txn is not 16 hex digits")
@@ -64,13 +69,13 @@
         if category is None or plan is None:
             raise Malformed("x-lane or x-storage-class is not in the settings")
         if request.method != (b"PUT" if category.writes else b"GET") or (request.body and not category.writes):
-            raise Malformed("a write is a PUT, a read a GET without a body", 405)
+            raise Malformed("a write must be a PUT, a read must be a GET without a body", 405)
         left, extent = fields.get(b"x-remaining", b""), _EXTENT.fullmatch(fields.get(b"x-extent", b""))
         if not _SECONDS.fullmatch(left):
-            raise Malformed("x-remaining is no number of seconds")
+            raise Malformed("x-remaining is not a number of seconds")
         if extent is None or not 0 < float(extent[1]) <= max(self.largest, 1.0) or float(extent[3]) < 1:
-            raise Malformed("x-extent is not units=,shard=,hosts= within the settings")
-        patience = int(min(float(left) * TENTHS, category.deadline))
+            raise Malformed("x-extent is not units=,shard=,hosts= with values that the settings allow")
+        time_left = int(min(float(left) * TICKS_PER_SECOND, category.deadline))
         return TaskRequest(
             request,
             id.lower(),
@@ -78,7 +83,7 @@
             int(path[2], 16),
             category,
             plan,
-            patience,
+            time_left,
             float(extent[1]),
             int(extent[2]),
             float(extent[3]),
@@ -86,18 +91,19 @@
         )
 
     def parse(self, now: int, request: Any) -> ParsedRequest:
+        """Return the request as the decision module sees it, at `now` of the core's clock."""
         assert isinstance(request, TaskRequest)
         name = request.volume, request.plan.name
         volume = self.volumes.get(name)
         if volume is None:
             volume = self.volumes[name] = Volume(request.volume, request.plan)
-            if len(self.volumes) > MOST_VOLUMES:
+            if len(self.volumes) > MAX_VOLUMES:
                 self.volumes.popitem(last=False)
         else:
             self.volumes.move_to_end(name)
-        volume.gateways = request.hosts
-        patience = request.patience
-        # One that a client sent ahead has waited for its turn: its time runs from when it came.
+        volume.gateways = request.gateways
+        time_left = request.time_left
+        # The client's time runs from when the request arrived: a pipelined one has waited for its turn since.
         received_at = min(request.request.received_at, now) or now
         task = Task(
             None,
@@ -107,7 +113,7 @@
             None if request.shard < 0 else request.shard,
             request.key,
             received_at,
-            received_at + patience - min(SPARE, patience // 2),
-            request.again,
+            received_at + time_left - min(DEADLINE_MARGIN, time_left // 2),
+            request.resent,
         )
         return ParsedRequest(task, 0, len(request.request.body))
