--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -1,4 +1,4 @@
-"""One gateway on the platform: sockets around the core, signals, the log. Ends on SIGTERM, reads anew on SIGHUP."""
+"""One gateway on the platform: the core with sockets, signals and a log. SIGTERM stops it, SIGHUP reloads its file."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from tansykeel.http1.codec import Malformed, Request
 from tansykeel.interface import Word
 from tansykeel.platform.clients import Client, Clients
-from tansykeel.platform.config import READ_AGAIN_AFTER, READ_WITHIN, Config, Illegal, Unreadable, read, read_at_start
+from tansykeel.platform.config import RETRY_DELAY, RETRY_PERIOD, Config, Illegal, Unreadable, read, read_at_start
 from tansykeel.platform.discovery import Discovery, RowReader
 from tansykeel.platform.event_counts import EventCounts
 from tansykeel.platform.event_log import standard_output
-from tansykeel.platform.intake import Reader, TaskRequest
+from tansykeel.platform.intake import RequestParser, TaskRequest
 from tansykeel.platform.periodic_checks import LOOK, PeriodicChecks
 from tansykeel.platform.request_rules import Invariant, Violations, answer_ends_connection
 from tansykeel.platform.stall_detector import StallDetector
@@ -34,25 +34,27 @@
 from tansykeel.transport.sockets import accept_all, accept_waiting, listening, run, seconds_since_data
 from tansykeel.transport.stream import Stream
 
-SAMPLE = 500  # one answer of so many is logged
-FIRST_LIST = 0.5  # seconds that a start waits for discovery's first word; what that holds counts as told from then on
-KILLS_AFTER = 0.7  # seconds after SIGTERM and the longest deadline (3 s at most) at which the platform kills
-LONGEST = 3.0
-SERVES_UNTIL, ENDS_BEFORE, FLUSHES_BEFORE = 1.0, 0.3, 0.1  # seconds before it: answers are last, all are given, gone
-COME_ON = 0.5  # seconds after SIGTERM for which new connections still come
-STORE_PART, OTHERS = 0.3, 32  # of the descriptors that a process may hold; what is left is for clients
-BODY_PART, ANSWER_PART = 0.125, 0.25  # of the memory, for requests' bodies and for answers
-USAGE = 2
-TRACE_VARIABLE = "TANSYKEEL_TRACE"  # "1": a line of the log for each event of each request
-MOST_READ_FOR = 2.0  # seconds for which one request is read at most
-MOST_TRACE = 6  # lines of a failure's trace that are logged
+LOG_ONE_IN = 500  # one answer of this many is logged
+FIRST_LIST_TIMEOUT = 0.5  # seconds that a start waits for discovery's first list, which applies from its arrival on
+KILL_DELAY = 0.7  # seconds after SIGTERM plus the longest deadline at which the platform kills a gateway
+MAX_COUNTED_DEADLINE = 3.0  # seconds of the longest deadline that the platform counts at most
+# Seconds before the kill: each answer ends its connection from then on, all tasks are answered, all connections closed.
+DRAIN_BEFORE_KILL, ANSWER_BEFORE_KILL, CLOSE_BEFORE_KILL = 1.0, 0.3, 0.1
+ACCEPT_PERIOD = 0.5  # seconds after SIGTERM for which new connections are accepted at least
+# Of the process's descriptors: the fraction for stores, and the number kept for other uses. The rest is for clients.
+STORE_SOCKET_FRACTION, RESERVED_DESCRIPTORS = 0.3, 32
+BODY_MEMORY_FRACTION, ANSWER_MEMORY_FRACTION = 0.125, 0.25  # of the memory limit: for request bodies and for answers
+EXIT_USAGE = 2  # exit code for an address that can't be listened on
+TRACE_VARIABLE = "TANSYKEEL_TRACE"  # "1": each event of each request is logged
+MAX_READ_TIME = 2.0  # seconds for which one request is read at most
+MAX_TRACE_ENTRIES = 6  # last entries of a failure's traceback that are logged
 
 
 log = standard_output()
 
 
 class Gateway:
-    """The core's I/O, and what clients' requests come to."""
+    """The core's I/O: takes requests from clients, gives the core's attempts to stores and sends its answers."""
 
     def __init__(self, path: str, config: Config) -> None:
         self.path, self.config = path, config
@@ -62,17 +64,17 @@
         self.counts = EventCounts(log if os.environ.get(TRACE_VARIABLE) == "1" else None)
         self.stalls = StallDetector(LOOK, loop.time())
         self.checks = PeriodicChecks(self, log)
-        self.reminder = WakeupTimer(self._tick)
+        self.wakeup_timer = WakeupTimer(self._run_timers)
         self.stopping = asyncio.Event()
-        self.told_to_stop = 0.0  # when SIGTERM came
-        self.closing = False  # each answer is its connection's last
-        self.open: dict[bytes, Client] = {}  # requests that are not answered, by id
-        self.answers = 0
-        self.never_sent = Counter[str]()  # tasks answered otherwise than delivered with no hand-off, by cause
+        self.stop_received_at = 0.0  # when SIGTERM came, 0 before it
+        self.closing = False  # set once each answer ends its connection, as the gateway stops
+        self.open_requests: dict[bytes, Client] = {}  # clients of requests that are not answered yet, by request id
+        self.answer_count = 0
+        self.never_sent = Counter[str]()  # tasks that were not delivered and had no hand-off, by cause
         self._discovery: Discovery | None = None
-        self._reading_again: asyncio.TimerHandle | None = None  # of a configuration that could not be read
-        self.reader = Reader(config.facts)
-        bounds = Bounds(config.open_tasks, int(limits.memory_mb * 2**20 * BODY_PART), codec.MOST_BODY)
+        self._config_retry: asyncio.TimerHandle | None = None  # next try to read the configuration file
+        self.request_parser = RequestParser(config.facts)
+        bounds = Bounds(config.open_tasks, int(limits.memory_mb * 2**20 * BODY_MEMORY_FRACTION), codec.MOST_BODY)
         known = config.file.known
         rows = RowReader(config.zones)
         self.core = Core(
@@ -81,13 +83,13 @@
             self,
             clock(),
             bounds,
-            self.reader,
+            self.request_parser,
             [rows.row(member, None) for member in known.members],
         )
-        for_stores = int(limits.sockets * STORE_PART)
+        for_stores = int(limits.sockets * STORE_SOCKET_FRACTION)
         self.clients = Clients(
             self,
-            limits.sockets - for_stores - OTHERS,
+            limits.sockets - for_stores - RESERVED_DESCRIPTORS,
             bounds.body_memory,
             loop.time,
             loop.call_soon,
@@ -97,11 +99,11 @@
         self.stores = Stores(
             self.core,
             for_stores,
-            int(limits.memory_mb * 2**20 * ANSWER_PART),
+            int(limits.memory_mb * 2**20 * ANSWER_MEMORY_FRACTION),
             self.clients,
             config.connect_within,
             config.idle_close,
-            config.longest,
+            config.longest_deadline,
             clock,
             loop.time,
             loop.call_later,
@@ -124,12 +126,12 @@
 
     @property
     def discovery(self) -> Discovery:
-        """What follows discovery's list."""
+        """The client of the discovery service, which follows its list of stores."""
         assert self._discovery is not None
         return self._discovery
 
     async def serve(self, listener: socket, signals: StartSignals | None = None) -> int:
-        """Take tasks until SIGTERM, answer what is held, return the exit code. `signals`: what came so far."""
+        """Take tasks until SIGTERM, answer those held, return the exit code. `signals`: received during the start."""
         loop, file = self.loop, self.config.file
         loop.set_exception_handler(
             lambda _, context: self.failed(str(context.get("message")), context.get("exception"))
@@ -138,8 +140,8 @@
         (signals or StartSignals()).hand_over(loop, handlers)
         self.discovery.ask()
         with suppress(TimeoutError):
-            # Guards against a send on the word of `known`: the agent may hold a drain that it has not.
-            await asyncio.wait_for(self.discovery.first.wait(), FIRST_LIST)
+            # Nothing is sent before: discovery may know of a drain that the configuration's `known` list lacks.
+            await asyncio.wait_for(self.discovery.first.wait(), FIRST_LIST_TIMEOUT)
         accepting = loop.create_task(accept_all(listener, self.clients.accept, self.stores.pressure))
         log(
             "ready",
@@ -153,127 +155,132 @@
             open_tasks=self.core.bounds.open_tasks,
         )
         gc.freeze()
-        looking = loop.create_task(self.checks.run())
+        checking = loop.create_task(self.checks.run())
         await self.stopping.wait()
-        log("stopping", held=len(self.open))
-        # From the signal on: guards against one that came while the first list was waited for.
-        killed = self.told_to_stop + min(self.config.longest, LONGEST) + KILLS_AFTER
-        await asyncio.sleep(killed - SERVES_UNTIL - loop.time())
-        await self._close_between_requests(killed)
+        log("stopping", held=len(self.open_requests))
+        # Counted from the signal, as the platform does: it may have come while the start waited for the first list.
+        kill_at = self.stop_received_at + min(self.config.longest_deadline, MAX_COUNTED_DEADLINE) + KILL_DELAY
+        await asyncio.sleep(kill_at - DRAIN_BEFORE_KILL - loop.time())
+        await self._close_between_requests(kill_at)
         accepting.cancel()
         await asyncio.sleep(0)
         accept_waiting(listener, self.clients.accept)
         listener.close()
-        await self._end(killed)
-        looking.cancel()
+        await self._answer_remaining(kill_at)
+        checking.cancel()
         self.discovery.end()
         self.checks.report()
-        log("stopped", left_unanswered=len(self.open))
+        log("stopped", left_unanswered=len(self.open_requests))
         return 0
 
     def stop(self, received_at: float | None = None) -> None:
-        """SIGTERM, received at that time of the monotonic clock, or now; a second one changes nothing."""
-        self.told_to_stop = self.told_to_stop or received_at or self.loop.time()
+        """Handle SIGTERM or SIGINT, received now or at that monotonic time. Further ones have no effect."""
+        self.stop_received_at = self.stop_received_at or received_at or self.loop.time()
         self.stopping.set()
 
-    async def _close_between_requests(self, killed: float) -> None:
-        """Clients send on connections that stay open, until it is killed. New ones are still taken: guards against
-        their reset or refusal where deadlines are so short that it ends while they come."""
+    async def _close_between_requests(self, kill_at: float) -> None:
+        """Let each answer end its connection and close idle connections, until none is open: clients would otherwise
+        send on open connections until the kill. New connections are accepted meanwhile: with short deadlines this
+        begins while clients still open them, and they would be reset or refused."""
         self.closing = True
-        come = max(self.told_to_stop + COME_ON, self.loop.time() + 0.05)  # who waits to be accepted is seen by then
-        while (self.clients.conns or self.loop.time() < come) and self.loop.time() < killed - ENDS_BEFORE:
+        # At least 0.05 s, in which waiting connections are accepted.
+        accept_end = max(self.stop_received_at + ACCEPT_PERIOD, self.loop.time() + 0.05)
+        while (self.clients.conns or self.loop.time() < accept_end) and self.loop.time() < kill_at - ANSWER_BEFORE_KILL:
             self.clients.close_idle()
             await asyncio.sleep(0.02)
 
-    async def _end(self, killed: float) -> None:
-        """Answer all that is held and whatever still comes, send nothing on, and let the answers leave."""
+    async def _answer_remaining(self, kill_at: float) -> None:
+        """Answer all tasks held and all further requests without their stores, and wait until the answers are sent."""
         self.core.stop()
         self.core.answer_all(clock())
         self.clients.reject_partial_requests()
-        while self.clients.conns and self.loop.time() < killed - FLUSHES_BEFORE:
+        while self.clients.conns and self.loop.time() < kill_at - CLOSE_BEFORE_KILL:
             self.clients.close_idle()
             await asyncio.sleep(0.02)
         self.clients.close_all()
 
     def reload_config(self, received_at: float | None = None) -> None:
-        """SIGHUP: discovery may have moved. All else is taken at the start only."""
-        if self._reading_again:
-            self._reading_again.cancel()
+        """Handle SIGHUP: take the address of discovery from the configuration file. Its other settings stay."""
+        if self._config_retry:
+            self._config_retry.cancel()
         try:
-            self._take_configuration()
+            self._load_config()
         except Illegal as error:
             log("configuration not taken", **error.fields)
             if isinstance(error, Unreadable):
-                self._read_again_later(self.loop.time() + READ_WITHIN)
+                self._retry_config_later(self.loop.time() + RETRY_PERIOD)
 
-    def _read_again_later(self, last_try: float) -> None:
-        """Guards against a file that can't be read for a moment: the old discovery goes, and no drain would be heard
-        until the next SIGHUP."""
+    def _retry_config_later(self, last_try: float) -> None:
+        """Read the file again after RETRY_DELAY, until it can be read or `last_try` has passed: otherwise, with the old
+        discovery ended, the gateway would learn of no drain until the next SIGHUP."""
 
-        def read_again() -> None:
+        def retry() -> None:
             try:
-                self._take_configuration()
+                self._load_config()
             except Unreadable:
                 if self.loop.time() < last_try:
-                    self._read_again_later(last_try)
+                    self._retry_config_later(last_try)
             except Illegal as error:
                 log("configuration not taken", **error.fields)
 
-        self._reading_again = self.loop.call_later(READ_AGAIN_AFTER, read_again)
+        self._config_retry = self.loop.call_later(RETRY_DELAY, retry)
 
-    def _take_configuration(self) -> None:
-        """Raises Illegal."""
+    def _load_config(self) -> None:
+        """Read the configuration file and use its address of discovery. Raises Illegal."""
         config = read(self.path)
         if config.file.settings != self.config.file.settings:
             log("other settings are taken at the next start only")
         self.config = config
         self.discovery.move(config.file.discovery)
 
-    # What clients say
+    # Handler: called by client connections
 
     def request(self, client: Client, request: Request) -> None:
+        """Answer a health check, reject a request that is no task, or give its task to the core."""
         if request.target == b"/_health":
             last = self._ends_with_answer(client, request)
             return client.answer(codec.answer(200, b"ok\n", last=last), last)
         try:
-            wanted = self.reader.wanted(request)
-            if wanted.id in self.open:
+            task_request = self.request_parser.parse_task(request)
+            if task_request.id in self.open_requests:
                 raise Malformed("the id of a request that is still open", 409)
         except Malformed as error:
             return client.reject(error.status)
-        self.counts.trace("taken", id=wanted.id, target=request.target, left_ms=wanted.patience / 10)
-        client.open_request = wanted.id
-        self.open[wanted.id] = client
+        self.counts.trace("taken", id=task_request.id, target=request.target, left_ms=task_request.time_left / 10)
+        client.open_request = task_request.id
+        self.open_requests[task_request.id] = client
         try:
-            self.core.receive_task(clock(), client, wanted.id, wanted)
+            self.core.receive_task(clock(), client, task_request.id, task_request)
         except Exception as error:
-            self.failed("a request was not taken", error)
-            self._answer_failed(client, wanted)
+            self.failed("the core failed to take a request", error)
+            self._answer_failed(client, task_request)
 
     def client_disconnected(self, client: Client) -> None:
+        """Cancel the task of the client's open request."""
         assert client.open_request is not None
-        del self.open[client.open_request]
+        del self.open_requests[client.open_request]
         self.core.cancel_task(clock(), client, client.open_request)
 
-    def _answer_failed(self, client: Client, wanted: TaskRequest) -> None:
-        """Guards against a fault of our own that would leave a request without its answer."""
-        if client.open_request != wanted.id:
+    def _answer_failed(self, client: Client, task_request: TaskRequest) -> None:
+        """Answer 500 to a request that the core failed to take, which would otherwise get no answer."""
+        if client.open_request != task_request.id:
             return
-        self.violations.report(Invariant.ANSWER_BEFORE_CLOSE, id=wanted.id)
-        self.core.cancel_task(clock(), client, wanted.id)
-        self.open.pop(wanted.id, None)
-        last = self._ends_with_answer(client, wanted.request)
+        self.violations.report(Invariant.ANSWER_BEFORE_CLOSE, id=task_request.id)
+        self.core.cancel_task(clock(), client, task_request.id)
+        self.open_requests.pop(task_request.id, None)
+        last = self._ends_with_answer(client, task_request.request)
         client.answer(codec.answer(500, last=last), last)
 
-    # GatewayIO: what the core wants done
+    # GatewayIO: called by the core
 
     def answer(self, held: HeldTask, final: FinalAnswer, body: list[bytes], sent: Callable[[], None]) -> None:
+        """Send a task's final answer to its client, and count and log it. `sent` is called at once."""
         client: Client = held.client
         sent()
-        if self.open.pop(held.id, None) is None:
+        if self.open_requests.pop(held.id, None) is None:
             return self.violations.report(Invariant.ONE_ANSWER, id=held.id, result=final.result)
-        wanted: TaskRequest = held.request
-        last = self._ends_with_answer(client, wanted.request)
+        task_request: TaskRequest = held.request
+        last = self._ends_with_answer(client, task_request.request)
         if final.result == DELIVERED:
             data = codec.answer(200, body[0], last=last)
         elif final.result == NACKED:
@@ -289,8 +296,8 @@
             task, now = held.task, self.core.runner.now
             late = now - task.arrived > (task.deadline - task.arrived) // 2
             self.never_sent[(final.reason or "given up") + (", late" if late else "")] += 1
-        self.answers += 1
-        if self.answers % SAMPLE == 0:
+        self.answer_count += 1
+        if self.answer_count % LOG_ONE_IN == 0:
             log(
                 "answered",
                 id=held.id,
@@ -298,32 +305,38 @@
                 reason=final.reason,
                 hand_offs=held.task.hand_offs,
                 lag_ms=(self.core.runner.now - held.task.arrived) / 10,
-                one_in=SAMPLE,
+                one_in=LOG_ONE_IN,
             )
 
     def hand_off(self, attempt: Attempt) -> None:
+        """Send the attempt to its store."""
         self.stores.hand_off(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
+        """Cancel an attempt, sent or not."""
         self.stores.cancel(attempt)
 
     def withdraw(self, attempt: Attempt) -> None:
+        """Take back an attempt if it was not sent yet."""
         self.stores.withdraw(attempt)
 
     def set_wakeup(self, at: int) -> None:
-        self.reminder.set(at)
+        """Run the core's timers at that time of its clock."""
+        self.wakeup_timer.set(at)
 
     def request_store_list(self) -> None:
-        if self._discovery:  # not yet there while the core is made
+        """Ask discovery for its list of stores."""
+        if self._discovery:  # None while the core is constructed
             self._discovery.ask()
 
     def send_to_peer(self, peer: int | None, word: Word) -> None:
-        pass  # the platform has no way between gateways that its settings allow
+        pass  # the platform's settings allow no connection between gateways
 
     def log_event(self, event: str, **fields: Any) -> None:
+        """Write an event to the log."""
         log(event, **fields)
 
-    # Within
+    # Internal
 
     def _ends_with_answer(self, client: Client, request: Request) -> bool:
         """Whether the connection ends with the answer to this request."""
@@ -334,32 +347,32 @@
         )
 
     def _received_at(self, stream: Stream, late: bool) -> int:
-        """Return when the bytes came that were read from the stream just now, by the core's clock. `late`: they may
-        have waited although the loop runs as it should, for reads were short."""
+        """Return, by the core's clock, when the bytes arrived that were just read from the stream. `late`: they may
+        have waited although the loop was not stalled, since the request took many short reads."""
         now = self.loop.time()
         if not self.stalls.max_unread_age(now):
-            age = min(seconds_since_data(stream.sock) or 0.0, MOST_READ_FOR) if late else 0.0
+            age = min(seconds_since_data(stream.sock) or 0.0, MAX_READ_TIME) if late else 0.0
             return clock() - int(age * TICKS_PER_SECOND)
         age = self.stalls.age_of_bytes(now, seconds_since_data(stream.sock))
         return clock() - int(age * TICKS_PER_SECOND)
 
     def _list_caught_up(self) -> bool:
-        """Whether all that discovery has said was read; looked at only where the loop has stood still."""
+        """Whether everything that discovery has sent was read. Checked only after a stall of the event loop."""
         if not self.stalls.max_unread_age(self.loop.time()):
             return True
         return self.discovery.caught_up()
 
-    def _tick(self, now: int) -> None:
-        """A time has come that the core asked for. Guards against a failure at one that loses those after it."""
+    def _run_timers(self, now: int) -> None:
+        """Run the core's timers that are due. After a failure the remaining ones still run later."""
         try:
             self.core.run_timers(now)
         except Exception as error:
-            self.failed("a reminder failed", error)
+            self.failed("a timer of the core failed", error)
             self.core.runner.settle()
 
     def failed(self, message: str, error: BaseException | None) -> None:
-        """Log a failure within the gateway with its cause; the gateway goes on."""
-        trace = traceback.format_exception(error)[-MOST_TRACE:] if error else None
+        """Log an internal failure with its traceback; the gateway keeps running."""
+        trace = traceback.format_exception(error)[-MAX_TRACE_ENTRIES:] if error else None
         log("failed", message=message, trace=trace)
 
 
@@ -368,7 +381,7 @@
 
 
 def main(signals: StartSignals | None = None) -> int:
-    """Run a gateway until it is told to stop; return the exit code. `signals`: those that came so far."""
+    """Run a gateway until it is stopped and return the exit code. `signals`: received while it was imported."""
     path = os.environ.get("EDGE_CONFIG", "")
     try:
         config = read_at_start(path)
@@ -381,5 +394,5 @@
             f"tansykeel: {path}: listen: {config.file.listen}: {error.strerror}; legal: a free address here",
             file=sys.stderr,
         )
-        return USAGE
+        return EXIT_USAGE
     return run(lambda: _serve(path, config, listener, signals))
--- a/tests/platform/test_ending.py
+++ b/tests/platform/test_ending.py
@@ -19,11 +19,11 @@
 def soon(monkeypatch):
     """Killed 2.5 s after SIGTERM: takes tasks for 1 s, has answered all after 2 s, is gone after 2.4 s."""
     for name, seconds in (
-        ("LONGEST", 0.5),
-        ("KILLS_AFTER", 2.0),
-        ("SERVES_UNTIL", 1.5),
-        ("ENDS_BEFORE", 0.5),
-        ("FLUSHES_BEFORE", 0.1),
+        ("MAX_COUNTED_DEADLINE", 0.5),
+        ("KILL_DELAY", 2.0),
+        ("DRAIN_BEFORE_KILL", 1.5),
+        ("ANSWER_BEFORE_KILL", 0.5),
+        ("CLOSE_BEFORE_KILL", 0.1),
     ):
         monkeypatch.setattr(program, name, seconds)
     monkeypatch.setattr("tansykeel.platform.clients.REQUEST_TIMEOUT", 10.0)
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("asks", [True, False])
-@pytest.mark.parametrize("moment, status", [("_close_between_requests", 200), ("_end", 503)])
+@pytest.mark.parametrize("moment, status", [("_close_between_requests", 200), ("_answer_remaining", 503)])
 def test_who_connects_at_the_last_moment_is_heard(tmp_path, monkeypatch, moment, status, asks):
     """Guards against connections that wait to be accepted and are reset as the listener closes: who comes while
     answers are last ones is served, who comes in the moment in which the listener closes is refused and not sent on."""
@@ -118,13 +118,13 @@
                 connect()
                 await close(gateway, killed)
 
-            if moment == "_end":
+            if moment == "_answer_remaining":
                 monkeypatch.setattr(program, "accept_waiting", connect_then_accept)
-                monkeypatch.setattr(program, "ENDS_BEFORE", 1.0)
+                monkeypatch.setattr(program, "ANSWER_BEFORE_KILL", 1.0)
             else:
                 monkeypatch.setattr(program.Gateway, "_close_between_requests", connect_then_close)
             stage.gateway.stop()
-            await until(lambda: stage.gateway.core.stopping if moment == "_end" else stage.gateway.closing)
+            await until(lambda: stage.gateway.core.stopping if moment == "_answer_remaining" else stage.gateway.closing)
             if not asks:
                 await asyncio.sleep(0.1)  # it is given time to ask, as its request may be on the way
                 late.send(asking(1))
@@ -237,18 +237,18 @@
 
 def test_sigterm_while_the_first_list_is_waited_for_counts_from_then(tmp_path, monkeypatch):
     """Guards against an end that is late by the time of the start: the platform counts from its signal."""
-    monkeypatch.setattr(program, "FIRST_LIST", 1.0)
+    monkeypatch.setattr(program, "FIRST_LIST_TIMEOUT", 1.0)
 
     async def go():
         async with staged(tmp_path, Store("s0", 0), list_=List(mute=["connect"] * 9)) as stage:
             await until(lambda: stage.list.asked)
-            begun, told, end = asyncio.get_running_loop().time(), [], stage.gateway._end
+            begun, told, end = asyncio.get_running_loop().time(), [], stage.gateway._answer_remaining
 
             async def ends(killed):
                 told.append(killed - begun)
                 await end(killed)
 
-            stage.gateway._end = ends
+            stage.gateway._answer_remaining = ends
             stage.gateway.stop()
             stage.gateway.stop()
             assert await stage.serving == 0 and 2.4 < told[0] < 2.6
@@ -272,7 +272,12 @@
 
 def test_where_deadlines_are_short_new_connections_are_taken_while_they_come(tmp_path, monkeypatch):
     """Killed 1.2 s after SIGTERM, as with deadlines of 0.5 s: clients connect for 0.4 s of them."""
-    for name, seconds in (("KILLS_AFTER", 0.7), ("SERVES_UNTIL", 1.0), ("ENDS_BEFORE", 0.3), ("FLUSHES_BEFORE", 0.1)):
+    for name, seconds in (
+        ("KILL_DELAY", 0.7),
+        ("DRAIN_BEFORE_KILL", 1.0),
+        ("ANSWER_BEFORE_KILL", 0.3),
+        ("CLOSE_BEFORE_KILL", 0.1),
+    ):
         monkeypatch.setattr(program, name, seconds)
 
     async def go():
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -70,7 +70,7 @@
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             assert (await client.ask(1, **changes)).status == status
-            assert await client.ended() and not store.got and not stage.gateway.open
+            assert await client.ended() and not store.got and not stage.gateway.open_requests
 
     play(go())
 
@@ -210,7 +210,7 @@
             client.writer.write(asking(1))
             await until(lambda: store.got)
             client.writer.close()
-            await until(lambda: not stage.gateway.core.held and not stage.gateway.open)
+            await until(lambda: not stage.gateway.core.held and not stage.gateway.open_requests)
             assert stage.gateway.core.counts.outcomes == {"cancelled": 1}
             await until(lambda: not stage.gateway.stores.pools[stage.gateway.core.stores["s0"]].connections)
 
@@ -353,7 +353,7 @@
 
 
 def test_ever_new_stores_clients_and_volumes_leave_nothing_behind(tmp_path, monkeypatch):
-    monkeypatch.setattr("tansykeel.platform.intake.MOST_VOLUMES", 10)
+    monkeypatch.setattr("tansykeel.platform.intake.MAX_VOLUMES", 10)
     monkeypatch.setattr("tansykeel.edge.core.MAX_GONE_STORES", 3)
 
     async def go():
@@ -372,8 +372,8 @@
                 await store.stop()
             stage.list.tell([], full=True)
             await until(lambda: not gateway.clients.conns and not gateway.stores.pools)
-            assert len(gateway.reader.volumes) == 10 and len(gateway.core.stores) == 3
-            assert not gateway.core.held and not gateway.open and not gateway.core.memory.by_client
+            assert len(gateway.request_parser.volumes) == 10 and len(gateway.core.stores) == 3
+            assert not gateway.core.held and not gateway.open_requests and not gateway.core.memory.by_client
 
     play(go())
 
@@ -382,10 +382,10 @@
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
             gateway, (first, second) = stage.gateway, (await stage.client(), await stage.client())
-            wanted, gateway.reader.wanted = gateway.reader.wanted, None
+            parse_task, gateway.request_parser.parse_task = gateway.request_parser.parse_task, None
             first.writer.write(asking(1))
             assert await first.ended()
-            gateway.reader.wanted = wanted
+            gateway.request_parser.parse_task = parse_task
             assert (await second.ask(2)).status == 200
             assert len(gateway.clients.conns) == 1
 
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -188,6 +188,6 @@
             assert (answer.status, answer.lasts) == (413, False)
             store.reply = lambda request: ok()
             assert (await other.ask(3)).status == 200 and len(store.got) == 2
-            assert not stage.gateway.open and stage.gateway.clients.unread_bytes() == 0
+            assert not stage.gateway.open_requests and stage.gateway.clients.unread_bytes() == 0
 
     play(go())
--- a/tests/platform/test_sent_ahead.py
+++ b/tests/platform/test_sent_ahead.py
@@ -66,8 +66,8 @@
 def test_requests_that_were_read_behind_the_last_answer_of_a_gateway_that_ends_are_answered(
     tmp_path, monkeypatch, moment
 ):
-    monkeypatch.setattr(program, "LONGEST", 0.5)
-    monkeypatch.setattr(program, "KILLS_AFTER", 2.0)
+    monkeypatch.setattr(program, "MAX_COUNTED_DEADLINE", 0.5)
+    monkeypatch.setattr(program, "KILL_DELAY", 2.0)
 
     async def go():
         store = SlowStore("s0", 0, 0.1 if moment == "serving" else 9.0)
