--- a/tansykeel/platform/request_rules.py
+++ b/tansykeel/platform/request_rules.py
@@ -1,7 +1,7 @@
-"""The rules on requests, in one place: what may be sent, repeated, closed or answered now. No I/O.
+"""The rules on requests, in one place: whether one may be sent, repeated, answered or its connection closed. No I/O.
 
-Whoever is about to act asks here first. What is refused here although it should never have been asked is a violation
-of an invariant: it is not done, and `Violations` counts it, so that a fault of the program shows in its log.
+Code that sends an attempt or closes a connection checks these rules first. An action that would break an invariant is a
+fault of the program: it is not done, and `Violations` counts and logs it.
 """
 
 from __future__ import annotations
@@ -13,20 +13,22 @@
 from tansykeel.edge.tasks import Attempt, HeldTask
 from tansykeel.interface import Allowed, Repeat, State
 
-OVERDUE = 1_000  # tenths after a task's deadline (which is up to 0.1 s before its client's) at which it must be over
-MOST_LOGGED = 20  # violations of one invariant that are logged; all are counted
+# Ticks (tenths of a millisecond) after a task's deadline at which it must have its answer. The deadline is up to 0.1 s,
+# which is as much, before its client's.
+OVERDUE_MARGIN = 1_000
+MAX_LOGGED = 20  # violations of one invariant that are logged; all are counted
 
 
 class Verdict(Enum):
     """Whether an attempt may begin."""
 
     NOW = "now"
-    LATER = "later"  # something that could forbid it has come and is not read yet
-    NEVER = "never"  # it is over, or its request has its answer
+    LATER = "later"  # unread data from its client or from discovery could forbid it
+    NEVER = "never"  # the attempt is finished, or its request is answered
 
 
 class Invariant(Enum):
-    """What must hold whatever happens."""
+    """What must hold at all times. The values are logged."""
 
     ONE_ANSWER = "a request gets one final answer"
     ANSWER_IN_TIME = "a request is answered before its client's time is up"
@@ -38,7 +40,8 @@
 
 
 def attempt_may_begin(attempt: Attempt, *, client_caught_up: bool, list_caught_up: bool) -> Verdict:
-    """Whether an attempt may be written now. `..._caught_up`: whether all that came from there was read."""
+    """Whether an attempt may be written now. `client_caught_up`, `list_caught_up`: everything that has arrived from its
+    client and from discovery was read."""
     if attempt.finished or attempt.held.answered:
         return Verdict.NEVER
     if not (client_caught_up and list_caught_up):
@@ -47,7 +50,7 @@
 
 
 def violation_of_attempt(attempt: Attempt, allowed: Allowed) -> Invariant | None:
-    """Return the invariant that an attempt would break if it were written now."""
+    """Return the invariant that writing the attempt now would break, None if there is none."""
     held, task = attempt.held, attempt.held.task
     if held.answered:
         return Invariant.NO_ATTEMPT_AFTER_ANSWER
@@ -63,28 +66,28 @@
 
 def is_overdue(held: HeldTask, now: int) -> bool:
     """Whether a task should have had its answer by now."""
-    return not held.answered and now > held.task.deadline + OVERDUE
+    return not held.answered and now > held.task.deadline + OVERDUE_MARGIN
 
 
 def answer_ends_connection(*, client_wants_end: bool, gateway_ends: bool, has_sent_more: bool) -> bool:
-    """Whether an answer is the last on its connection. What a client sent ahead is answered before a gateway ends."""
+    """Whether an answer is the last on its connection. Before a gateway stops, it answers pipelined requests too."""
     return client_wants_end or (gateway_ends and not has_sent_more)
 
 
 def connection_may_end(*, has_open_request: bool, has_sent_more: bool, has_unsent_answer: bool) -> bool:
-    """Whether a client's connection may be ended between requests."""
+    """Whether a client's connection may be ended now, between two requests."""
     return not (has_open_request or has_sent_more or has_unsent_answer)
 
 
 class Violations:
-    """Counts what should never happen, and logs the first of each kind. `note(event, **fields)` writes the log."""
+    """Counts violations of invariants, and logs the first MAX_LOGGED of each. `log(event, **fields)` writes the log."""
 
-    def __init__(self, note: Callable[..., None]) -> None:
-        self.note = note
+    def __init__(self, log: Callable[..., None]) -> None:
+        self.log = log
         self.counts = Counter[str]()
 
     def report(self, invariant: Invariant, **fields: object) -> None:
-        """An invariant was broken, or would have been."""
+        """Count an action that broke an invariant, or was not done because it would have."""
         self.counts[invariant.name] += 1
-        if self.counts[invariant.name] <= MOST_LOGGED:
-            self.note("invariant violated", invariant=invariant.name, means=invariant.value, **fields)
+        if self.counts[invariant.name] <= MAX_LOGGED:
+            self.log("invariant violated", invariant=invariant.name, means=invariant.value, **fields)
