--- a/tansykeel/platform/event_counts.py
+++ b/tansykeel/platform/event_counts.py
@@ -1,7 +1,7 @@
-"""Why connections were closed, attempts repeated and requests rejected: counts, and lines for a trace. No I/O.
+"""Counts by cause of closed connections, repeated attempts and rejected requests, and a trace of these events. No I/O.
 
-With a trace each request can be followed by its id through all that becomes of it; it costs a line an event and is off
-unless the environment has `TANSYKEEL_TRACE=1`.
+With a trace a request can be followed by its id from its arrival to its answer. It writes one log line per event and is
+off unless the environment has `TANSYKEEL_TRACE=1`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class ClientEnd(Enum):
-    """Why a client's connection ended."""
+    """Why a client's connection ended. The values are logged."""
 
     BY_CLIENT = "the client ended it"
     BROKEN = "it broke"
@@ -26,7 +26,7 @@
 
 
 class StoreConnectionEnd(Enum):
-    """Why a connection to a store ended."""
+    """Why a connection to a store ended. The values are logged."""
 
     BY_STORE = "the store ended it, or it broke"
     NOT_UP = "it did not come up in time"
@@ -41,37 +41,38 @@
 
 
 class EventCounts:
-    """Counts by reason. `note(event, **fields)` writes the trace; None: there is none."""
+    """Counts of events by cause. `log(event, **fields)` writes the trace; None: no trace is written."""
 
-    def __init__(self, note: Callable[..., None] | None = None) -> None:
-        self.note = note
+    def __init__(self, log: Callable[..., None] | None = None) -> None:
+        self.log = log
         self.client_ends = Counter[str]()
         self.store_connection_ends = Counter[str]()
-        self.retries = Counter[str]()  # by the outcome of the attempt before
-        self.rejections = Counter[str]()  # answers other than a store's, by cause
+        self.retries = Counter[str]()  # by the outcome of the attempt before it
+        self.rejections = Counter[str]()  # answers that are not a store's, by cause
 
-    def client_ended(self, end: ClientEnd, had_asked: int) -> None:
-        """A client's connection was closed after so many requests."""
+    def client_ended(self, end: ClientEnd, requests: int) -> None:
+        """Count a client's connection that was closed after that many requests."""
         self.client_ends[end.value] += 1
-        self.trace("client ended", why=end.value, requests=had_asked)
+        self.trace("client ended", why=end.value, requests=requests)
 
     def store_connection_ended(self, end: StoreConnectionEnd, store: str, request: bytes | None) -> None:
-        """A connection to a store was closed; `request`: the id of the one whose answer it owed."""
+        """Count a connection to a store that was closed; `request`: the id of its open request, if it had one."""
         self.store_connection_ends[end.value] += 1
         self.trace("store connection ended", why=end.value, store=store, id=request)
 
     def attempt_sent(self, request: bytes, number: int, store: str, outcome_before: str) -> None:
-        """An attempt was decided on; `outcome_before`: of the attempt before it."""
+        """Count an attempt that is to be sent, as a retry if it is not the first. `outcome_before`: of the one before
+        it."""
         if number:
             self.retries[outcome_before] += 1
         self.trace("attempt", id=request, number=number, store=store, after=outcome_before)
 
     def rejected(self, request: bytes, cause: str) -> None:
-        """A request was answered otherwise than by a store."""
+        """Count a request whose answer is not a store's."""
         self.rejections[cause] += 1
         self.trace("rejected", id=request, cause=cause)
 
     def trace(self, event: str, **fields: object) -> None:
-        """Write a line of the trace, if there is one."""
-        if self.note:
-            self.note(event, **fields)
+        """Write an event to the trace, if one is written."""
+        if self.log:
+            self.log(event, **fields)
