--- a/tansykeel/platform/event_log.py
+++ b/tansykeel/platform/event_log.py
@@ -1,7 +1,7 @@
-"""The gateway's log: one JSON object a line on standard output. A log that nobody reads never holds the gateway up.
+"""The gateway's log: one JSON object per line on standard output. Logging never blocks the gateway.
 
-A line is written only where the descriptor takes it at once; otherwise it is dropped, and the next one that is written
-says how many are missing (`lines_lost`).
+A line is written only if the descriptor takes it at once. Otherwise, as with a full pipe that nobody reads, it is
+dropped, and the next line that is written has the number of dropped ones as `lines_lost`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
         """Write an event with its fields."""
         if not self.writer.ready():
             return
-        line = {"at": round(time.time(), 3), "event": event} | fields  # wall clock: for people who read the log
+        line = {"at": round(time.time(), 3), "event": event} | fields  # wall-clock time, for readers of the log
         if self.writer.lost:
             line["lines_lost"] = self.writer.lost
             self.writer.lost = 0
@@ -32,7 +32,7 @@
 
 
 def standard_output() -> EventLog:
-    """Return the log on standard output; on a closed one nothing is written."""
+    """Return a log on standard output. If that is closed, nothing is written."""
     try:
         descriptor = sys.stdout.fileno() if sys.stdout else None
     except (OSError, ValueError):
@@ -41,4 +41,5 @@
 
 
 def _plain(value: Any) -> str:
+    """Return the text for a value that JSON has no type for."""
     return value.decode("latin-1") if isinstance(value, bytes) else str(value)
