--- a/tansykeel/platform/stall_detector.py
+++ b/tansykeel/platform/stall_detector.py
@@ -1,17 +1,21 @@
-"""Tells whether the event loop has stood still, and for how long bytes may have waited unread. No I/O.
+"""Detects stalls of the event loop, and bounds for how long bytes have waited to be read. No I/O.
 
-A process that is stopped or gets no processor finds requests, ends of connections and news of stores all at once when
-it goes on. What it reads then is not new, and what it has not read yet may forbid what it is about to do.
+A process that was stopped or got no processor time finds requests, ends of connections and changes of the store list
+all at once when it continues. What it reads then arrived earlier, and what it has not read yet may forbid what it is
+about to do.
 """
 
 from __future__ import annotations
 
-BEAT_TOLERANCE = 0.05  # seconds by which a beat may be late on a busy machine
-CATCHING_UP = 0.5  # seconds after a stall in which connections are accepted and read that waited through it
+BEAT_TOLERANCE = 0.05  # seconds by which a beat may be late on a busy machine without a stall
+CATCH_UP_PERIOD = 0.5  # seconds after a stall in which the connections that waited meanwhile are accepted and read
 
 
 class StallDetector:
-    """`beat` is called every `period` seconds, each time after sockets were read. Times are in seconds, monotonic."""
+    """Detects stalls by late calls of `beat`, which is called every `period` seconds after sockets were read.
+
+    Times are in seconds of the monotonic clock.
+    """
 
     def __init__(self, period: float, now: float) -> None:
         self.period = period
@@ -21,15 +25,15 @@
         self._catching_up_until = now
 
     def beat(self, now: float) -> None:
-        """The loop has read its sockets and runs."""
+        """Record that the loop runs and has read its sockets."""
         if now - self._last_beat > self.period + BEAT_TOLERANCE:
             self.stalls += 1
             self._stalled_since = self._last_beat
-            self._catching_up_until = now + CATCHING_UP
+            self._catching_up_until = now + CATCH_UP_PERIOD
         self._last_beat = now
 
     def max_unread_age(self, now: float) -> float:
-        """Return the seconds for which bytes read now may have waited at most; 0 while the loop runs as it should."""
+        """Return the most seconds for which bytes read now may have waited; 0 if there was no stall lately."""
         if now - self._last_beat > self.period + BEAT_TOLERANCE:
             return now - self._last_beat
         if now < self._catching_up_until:
@@ -37,9 +41,9 @@
         return 0.0
 
     def age_of_bytes(self, now: float, kernel_age: float | None) -> float:
-        """Return the seconds for which bytes read now have waited, by what the kernel says of them if it does.
+        """Return the seconds for which bytes read now have waited. `kernel_age`: the kernel's figure, None without one.
 
-        Without the kernel's word the whole stall counts, less a period in which the loop may still have run.
+        Without it the whole stall counts, less one period in which the loop may still have run.
         """
         longest = self.max_unread_age(now)
         if kernel_age is not None:
