--- a/tansykeel/platform/__main__.py
+++ b/tansykeel/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tansykeel.platform`: one gateway on the operators' platform."""
+"""`python -m tansykeel.platform` runs one gateway on the platform."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def start() -> int:
-    """Keep signals while the program is imported, then run it; return its exit code."""
+    """Record signals while the program is imported, then run it and return its exit code."""
     signals = StartSignals()
     signals.install()
     from tansykeel.platform.program import main
