--- a/tansykeel/platform/event_counts.py
+++ b/tansykeel/platform/event_counts.py
@@ -50,10 +50,10 @@
         self.retries = Counter[str]()  # by the outcome of the attempt before it
         self.rejections = Counter[str]()  # answers that are not a store's, by cause
 
-    def client_ended(self, end: ClientEnd, requests: int) -> None:
+    def client_ended(self, end: ClientEnd, request_count: int) -> None:
         """Count a client's connection that was closed after that many requests."""
         self.client_ends[end.value] += 1
-        self.trace("client ended", why=end.value, requests=requests)
+        self.trace("client ended", why=end.value, requests=request_count)
 
     def store_connection_ended(self, end: StoreConnectionEnd, store: str, request: bytes | None) -> None:
         """Count a connection to a store that was closed; `request`: the id of its open request, if it had one."""
--- a/tests/platform/test_event_counts.py
+++ b/tests/platform/test_event_counts.py
@@ -35,7 +35,7 @@
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
-            stage.gateway.counts.note = lambda event, **fields: lines.append((event, fields))
+            stage.gateway.counts.log = lambda event, **fields: lines.append((event, fields))
             client = await stage.client()
             assert (await client.ask(7)).status == 200
             await asyncio.sleep(0)
