--- a/tests/platform/test_final_answers.py
+++ b/tests/platform/test_final_answers.py
@@ -1,4 +1,4 @@
-"""What fails within the gateway frees no request of its final answer, and is counted."""
+"""After an internal failure each request still gets its final answer, and the failure is counted."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from tansykeel.brain import Scheduler
 
 
-def test_a_task_whose_decision_fails_is_answered_in_time(tmp_path, monkeypatch):
+def test_a_task_whose_decision_raises_is_answered_in_time(tmp_path, monkeypatch):
     decide = Scheduler.serve
 
-    def fails_at_its_turn(self, task):
+    def fail_after_first_decision(self, task):
         run = decide(self, task)
         yield next(run)
         raise ArithmeticError("planted")
@@ -21,7 +21,7 @@
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
-            monkeypatch.setattr(Scheduler, "serve", fails_at_its_turn)
+            monkeypatch.setattr(Scheduler, "serve", fail_after_first_decision)
             client = await stage.client()
             async with asyncio.timeout(1.0):
                 assert (await client.ask(1, x_remaining="0.6")).status in (500, 503)
@@ -32,32 +32,32 @@
     play(go())
 
 
-@pytest.mark.parametrize("part", ["clients", "stores", "discovery"])
-def test_a_look_that_fails_is_not_the_last_one(tmp_path, monkeypatch, part):
+@pytest.mark.parametrize("part, check", [("clients", "check_timeouts"), ("stores", "look"), ("discovery", "look")])
+def test_a_check_that_fails_is_run_again_and_the_others_go_on(tmp_path, monkeypatch, part, check):
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
-            looked_at, looks = getattr(stage.gateway, part), []
+            checked, calls = getattr(stage.gateway, part), []
 
             def fails():
-                looks.append(part)
+                calls.append(part)
                 raise ArithmeticError("planted")
 
-            monkeypatch.setattr(looked_at, "look", fails)
-            await until(lambda: len(looks) > 2)
-            silent = await stage.client()
+            monkeypatch.setattr(checked, check, fails)
+            await until(lambda: len(calls) > 2)
+            idle = await stage.client()
             if part != "clients":
-                assert (await silent.answer()).status == 408
+                assert (await idle.answer()).status == 408
 
     play(go())
 
 
-def test_room_that_comes_free_goes_to_the_next_pool_where_the_first_needs_none(tmp_path):
-    """Two pools wait for room; the first one's attempt is over by the time that a connection is closed."""
+def test_a_freed_connection_goes_to_the_next_waiting_pool_if_the_first_needs_none(tmp_path):
+    """Two pools wait to open a connection. The first one's client disconnects before a connection is closed."""
 
     async def go():
-        held, wants, gone = Store("s0", 0, lambda request: None), Store("s1", 1), Store("s2", 2)
-        async with staged(tmp_path, held, wants, gone) as stage:
+        held, waiting, unused = Store("s0", 0, lambda request: None), Store("s1", 1), Store("s2", 2)
+        async with staged(tmp_path, held, waiting, unused) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             stage.gateway.stores.most = 1
             first, left, last = [await stage.client() for _ in range(3)]
