--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from platform_stage import SETTINGS, Store, play, staged, until
+from platform_stage import SETTINGS, Store, run_test, staged, until
 
 WARM_AFTER = 17.0  # seconds
 COLD = SETTINGS | {
@@ -41,7 +41,7 @@
             stage.gateway.core.run_timers(stage.gateway.stores.clock())
             assert 0 <= age_in_seconds(stage, "s0") <= age + 0.5
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -59,7 +59,7 @@
             await until(lambda: stage.gateway.core.list_version == 6)
             assert 0 <= age_in_seconds(stage, "s0") <= 1.0
 
-    play(go())
+    run_test(go())
 
 
 def test_a_clock_that_was_ahead_before_the_start_is_found_out_by_a_start_that_could_not_be_missed(
@@ -77,4 +77,4 @@
             await until(lambda: stage.gateway.core.list_version == 6)
             assert 0 <= age_in_seconds(stage, "s0") <= 3.0
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_config.py
+++ b/tests/platform/test_config.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from platform_stage import List, Store, configuration, play, staged, until
+from platform_stage import List, Store, configuration, run_test, staged, until
 
 from tansykeel.platform.config import Illegal, Unreadable, read, read_at_start
 
@@ -78,7 +78,7 @@
             assert len(failed) == 2
         await other.stop()
 
-    play(go())
+    run_test(go())
 
 
 def test_of_signals_in_series_the_last_file_counts(tmp_path, monkeypatch):
@@ -96,4 +96,4 @@
         await second.stop()
         await third.stop()
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -6,7 +6,7 @@
 import json
 
 import pytest
-from platform_stage import List, Store, configuration, no_descriptors, play, staged, until
+from platform_stage import List, Store, configuration, no_descriptors, run_test, staged, until
 
 from tansykeel.platform import discovery as discovery_module
 from tansykeel.platform.discovery import Watch
@@ -31,7 +31,7 @@
             assert (await (await stage.client()).ask(1)).status == 200 and other.got and not store.got
             await other.stop()
 
-    play(go())
+    run_test(go())
 
 
 def test_on_sighup_discovery_moves_and_the_old_watch_is_let_go_once_the_new_one_speaks(tmp_path):
@@ -53,7 +53,7 @@
             assert moved.asked == ["/catalog/members?stream=1&index=5"]
             await moved.stop()
 
-    play(go())
+    run_test(go())
 
 
 OBJECTS = [{"a": 1}, {"b": [{"c": "}{"}, {"d": 'a "quoted" \\\\ one'}]}, {}]
@@ -111,7 +111,7 @@
             assert len(stage.list.asked) == 1
             await other.stop()
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("mute", ["connect", "head", "object", "empty"])
@@ -142,7 +142,7 @@
             assert len(list_.asked) == more + 2
             await until(lambda: len(discovery.watches) == 1)
 
-    play(go())
+    run_test(go())
 
 
 def test_a_watch_that_ends_is_opened_anew_before_a_drain_s_grace_is_over(tmp_path):
@@ -156,7 +156,7 @@
                 stage.list.writers[-1].transport.abort()
                 await until(lambda turn=turn: stage.gateway.core.list_version == 6 + turn)
 
-    play(go())
+    run_test(go())
 
 
 def test_nothing_is_sent_on_the_word_of_known_once_the_agent_can_be_heard(tmp_path):
@@ -166,7 +166,7 @@
         async with staged(tmp_path, store, known={"phase": "Ready"}) as stage:
             assert (await (await stage.client()).ask(1, x_remaining="0.4")).status == 503 and not store.got
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("mute, drip", [("object", b" "), ("object", b"\n"), ("head", b"{"), ("empty", b'{"a": 1')])
@@ -200,7 +200,7 @@
                     await until(lambda: core.list_version == 5)
             await until(lambda: len(discovery.watches) == 1)
 
-    play(go())
+    run_test(go())
 
 
 def moving(stage, moved, tmp_path):
@@ -232,7 +232,7 @@
             assert old.stream.closed and [watch.host.decode() for watch in discovery.watches] == [moved.address]
             await moved.stop()
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("whole", [True, False])
@@ -267,7 +267,7 @@
             assert moved.asked[0].endswith("index=6") and len(moved.asked) == (1 if whole else 2)
             await moved.stop()
 
-    play(go())
+    run_test(go())
 
 
 def test_sighup_while_a_watch_connects_and_twice(tmp_path):
@@ -288,7 +288,7 @@
             await between.stop()
             await last.stop()
 
-    play(go())
+    run_test(go())
 
 
 def test_no_descriptor_for_a_watch_makes_room_and_is_tried_again(tmp_path, monkeypatch):
@@ -304,4 +304,4 @@
             await until(lambda: stage.gateway.core.list_version == 6)
             assert len(refused) == 3 and await idle.ended()
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_ending.py
+++ b/tests/platform/test_ending.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 
 import pytest
-from platform_stage import List, Store, asking, configuration, ok, play, staged, until
+from platform_stage import List, Store, asking, configuration, ok, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform import program
@@ -47,7 +47,7 @@
             held.writer.close()
             assert await stage.serving == 0
 
-    play(go())
+    run_test(go())
 
 
 def test_a_client_that_never_rests_has_every_answer_and_is_closed_between_requests(tmp_path):
@@ -71,7 +71,7 @@
             await asyncio.gather(*asking_on)
             assert None not in answers and len(answers) == asked[0] and not stage.gateway.clients.conns
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("goes_on", [True, False])
@@ -91,7 +91,7 @@
             client.writer.close()
             assert await stage.serving == 0
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("asks", [True, False])
@@ -137,7 +137,7 @@
             assert (answer.status, answer.lasts, len(store.got)) == (status, False, int(status == 200))
             assert await stage.serving == 0
 
-    play(go())
+    run_test(go())
 
 
 def test_a_connection_accepted_in_the_moment_of_the_end_is_handed_over():
@@ -196,7 +196,7 @@
             client.close()
             assert await stage.serving == 0 and len(store.got) == 1
 
-    play(go())
+    run_test(go())
 
 
 def test_at_the_very_end_no_answer_is_taken_back_by_bytes_that_nobody_reads(tmp_path, monkeypatch):
@@ -232,7 +232,7 @@
             assert len(answers.next().body) == 300_000
             client.close()
 
-    play(go())
+    run_test(go())
 
 
 def test_sigterm_while_the_first_list_is_waited_for_counts_from_then(tmp_path, monkeypatch):
@@ -253,7 +253,7 @@
             stage.gateway.stop()
             assert await stage.serving == 0 and 2.4 < told[0] < 2.6
 
-    play(go())
+    run_test(go())
 
 
 def test_a_configuration_that_comes_after_the_end_opens_no_watch(tmp_path):
@@ -267,7 +267,7 @@
             assert not stage.gateway.discovery.watches
             await moved.stop()
 
-    play(go())
+    run_test(go())
 
 
 def test_where_deadlines_are_short_new_connections_are_taken_while_they_come(tmp_path, monkeypatch):
@@ -289,4 +289,4 @@
             assert (answer.status, answer.lasts) == (200, False)
             assert await stage.serving == 0
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_epoll_failures.py
+++ b/tests/platform/test_epoll_failures.py
@@ -23,7 +23,7 @@
 
 import pytest
 from platform_process import free_port
-from platform_stage import List, Store, asking, configuration, play, staged, until
+from platform_stage import List, Store, asking, configuration, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.transport.epoll_selector import RetryingEpollSelector
@@ -110,7 +110,7 @@
             for part in (store, list_):
                 await part.stop()
 
-    play(go())
+    run_test(go())
 
 
 class FailingEpoll:
--- a/tests/platform/test_event_counts.py
+++ b/tests/platform/test_event_counts.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from platform_stage import Store, ok, play, staged, until
+from platform_stage import Store, ok, run_test, staged, until
 
 
 def test_ends_retries_and_rejections_are_counted_by_reason(tmp_path):
@@ -26,7 +26,7 @@
             assert counts.client_ends == {"the client ended it": 1, "it was told an error": 1}
             assert counts.store_connection_ends == {"its attempt was cancelled or timed out": 1}
 
-    play(go())
+    run_test(go())
 
 
 def test_a_trace_follows_a_request_by_its_id(tmp_path):
@@ -47,4 +47,4 @@
                 "answered",
             ]
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_final_answers.py
+++ b/tests/platform/test_final_answers.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from platform_stage import Store, asking, play, staged, until
+from platform_stage import Store, asking, run_test, staged, until
 
 from tansykeel.brain import Scheduler
 
@@ -29,7 +29,7 @@
             monkeypatch.setattr(Scheduler, "serve", decide)
             assert (await client.ask(2)).status == 200
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("part, check", [("clients", "check_timeouts"), ("stores", "look"), ("discovery", "look")])
@@ -49,7 +49,7 @@
             if part != "clients":
                 assert (await idle.answer()).status == 408
 
-    play(go())
+    run_test(go())
 
 
 def test_a_freed_connection_goes_to_the_next_waiting_pool_if_the_first_needs_none(tmp_path):
@@ -71,4 +71,4 @@
             async with asyncio.timeout(1.5):
                 assert (await last.answer()).status == 200
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from platform_stage import VOLUME, List, Store, asking, ok, play, staged, until
+from platform_stage import VOLUME, List, Store, asking, ok, run_test, staged, until
 
 from tansykeel.platform.clients import Clients
 
@@ -26,7 +26,7 @@
             conns = len(store.writers)
             assert (await client.ask(3)).status == 200 and len(store.writers) == conns  # a rested one is used again
 
-    play(go())
+    run_test(go())
 
 
 def test_it_is_ready_and_serves_with_only_what_it_knew(tmp_path):
@@ -37,7 +37,7 @@
             assert (await client.answer()).status == 200
             assert (await client.ask(1)).status == 200
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize(
@@ -72,7 +72,7 @@
             assert (await client.ask(1, **changes)).status == status
             assert await client.ended() and not store.got and not stage.gateway.open_requests
 
-    play(go())
+    run_test(go())
 
 
 def test_an_error_reaches_a_client_that_is_still_sending(tmp_path):
@@ -83,7 +83,7 @@
             assert (await client.answer()).status == 413
             await until(lambda: not stage.gateway.clients.conns)
 
-    play(go())
+    run_test(go())
 
 
 def test_the_id_of_an_open_request_is_refused_and_the_first_lives_on(tmp_path):
@@ -97,7 +97,7 @@
             store.writers[0].write(ok())
             assert (await first.answer()).status == 200
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize(
@@ -120,7 +120,7 @@
             assert (answer.status, answer.body, len(store.got)) == (200, b"data", hand_offs)
             assert {request.fields[b"x-txn"] for request in store.got} == {b"%016x" % 1}
 
-    play(go())
+    run_test(go())
 
 
 def test_a_large_answer_is_passed_on_whole_while_there_is_memory_for_it(tmp_path):
@@ -133,7 +133,7 @@
             assert (await client.ask(2)).status == 503
             assert stage.gateway.core.counts.outcomes == {"delivered": 1, "error": 3}
 
-    play(go())
+    run_test(go())
 
 
 def test_kept_connections_are_trusted_less_once_one_was_found_dead(tmp_path, monkeypatch):
@@ -155,7 +155,7 @@
                 stores.look()
             assert stores.trusted == 12.0
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("fails, ends", [(1, {"delivered": 1}), (2, {"delivered": 1, "no connection": 1})])
@@ -179,7 +179,7 @@
             assert (await client.ask(1)).status == 200
             assert gateway.core.counts.outcomes == ends and len(store.got) == 1
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("behind", [ok(b"copy"), b"noise"])
@@ -199,7 +199,7 @@
                     await until(lambda: not any(pool.idle for pool in stage.gateway.stores.pools.values()))
             assert len(store.writers) == 3
 
-    play(go())
+    run_test(go())
 
 
 def test_a_client_that_leaves_ends_its_hand_off(tmp_path):
@@ -214,7 +214,7 @@
             assert stage.gateway.core.counts.outcomes == {"cancelled": 1}
             await until(lambda: not stage.gateway.stores.pools[stage.gateway.core.stores["s0"]].connections)
 
-    play(go())
+    run_test(go())
 
 
 def test_a_store_that_refuses_connections_never_ran_anything(tmp_path):
@@ -228,7 +228,7 @@
             assert answer.status == 503
             assert set(stage.gateway.core.counts.outcomes) == {"no connection"}
 
-    play(go())
+    run_test(go())
 
 
 def test_what_waits_for_a_connection_is_decided_anew_when_its_store_drains(tmp_path):
@@ -246,7 +246,7 @@
             assert (await client.answer()).status == 200 and not store.got and len(other.got) == 1
             await other.stop()
 
-    play(go())
+    run_test(go())
 
 
 def test_connections_that_say_nothing_make_room_for_those_that_ask(tmp_path):
@@ -262,7 +262,7 @@
             assert (await last.ask(2)).status == 200 and (await usual.ask(3)).status == 200
             assert len(clients.conns) <= 6 and clients.unanswered["no room"] == 0
 
-    play(go())
+    run_test(go())
 
 
 def test_who_asked_once_and_stays_is_let_go_where_there_is_a_crowd(tmp_path, monkeypatch):
@@ -283,7 +283,7 @@
             await until(lambda: len(clients.conns) == 2)
             assert await first.ended()
 
-    play(go())
+    run_test(go())
 
 
 def test_silence_and_half_requests_end_in_time(tmp_path, monkeypatch):
@@ -296,7 +296,7 @@
             assert (await silent.answer()).status == 408 and (await half.answer()).status == 408
             assert await half.ended()
 
-    play(go())
+    run_test(go())
 
 
 def test_a_client_that_says_close_is_answered_and_closed(tmp_path):
@@ -306,7 +306,7 @@
             answer = await client.ask(1, connection="close")
             assert answer.status == 200 and not answer.lasts and await client.ended()
 
-    play(go())
+    run_test(go())
 
 
 def test_large_bodies_that_never_end_are_turned_away_once_they_fill_the_memory(tmp_path):
@@ -323,7 +323,7 @@
             (first if answers[0] in waiting else second).writer.write(b"x")
             assert (await waiting.pop()).status == 200 and len(store.got) == 1
 
-    play(go())
+    run_test(go())
 
 
 def test_what_waits_gets_a_connection_though_the_one_it_waited_for_breaks(tmp_path):
@@ -338,7 +338,7 @@
             answers = await asyncio.gather(*(client.ask(id) for id, client in enumerate(clients, 1)))
             assert [answer.status for answer in answers] == [200, 200, 200]
 
-    play(go())
+    run_test(go())
 
 
 def test_requests_sent_ahead_are_answered_in_order(tmp_path):
@@ -349,7 +349,7 @@
             client.writer.write(b"".join(asking(id) for id in range(1, 30)))
             assert [(await client.answer()).body for _ in range(1, 30)] == [b"%016x" % id for id in range(1, 30)]
 
-    play(go())
+    run_test(go())
 
 
 def test_ever_new_stores_clients_and_volumes_leave_nothing_behind(tmp_path, monkeypatch):
@@ -375,7 +375,7 @@
             assert len(gateway.request_parser.volumes) == 10 and len(gateway.core.stores) == 3
             assert not gateway.core.held and not gateway.open_requests and not gateway.core.memory.by_client
 
-    play(go())
+    run_test(go())
 
 
 def test_a_failure_in_one_connection_ends_only_that_one(tmp_path):
@@ -389,4 +389,4 @@
             assert (await second.ask(2)).status == 200
             assert len(gateway.clients.conns) == 1
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_held_up.py
+++ b/tests/platform/test_held_up.py
@@ -10,7 +10,7 @@
 
 import pytest
 from platform_process import HEALTH, process
-from platform_stage import List, Store, asking, ok, play, until
+from platform_stage import List, Store, asking, ok, run_test, until
 
 from tansykeel.http1 import codec
 
@@ -92,7 +92,7 @@
             told = {id: store.came[id] for id in range(10, 14) if id in store.came}
             assert not [id for id, (came, left) in told.items() if left > sent + 2.0 - came + SLACK]
 
-    play(go())
+    run_test(go())
 
 
 def test_nothing_is_sent_to_a_store_of_whose_drain_the_agent_told_during_a_stop(tmp_path):
@@ -107,7 +107,7 @@
             assert (await client.answer()).status == 503
             assert 10 not in store.came
 
-    play(go())
+    run_test(go())
 
 
 def test_a_request_that_came_during_a_stop_is_no_idle_connection_s_end(tmp_path):
@@ -127,7 +127,7 @@
             answers = await asyncio.gather(*(client.answer() for client in clients))
             assert [answer and answer.status in (200, 503) for answer in answers] == [True] * len(clients)
 
-    play(go())
+    run_test(go())
 
 
 def test_who_connected_during_the_last_moments_of_a_gateway_that_is_held_up_is_answered(tmp_path):
@@ -147,4 +147,4 @@
             await until(lambda: gateway.child.poll() is not None, 6.0)
             assert gateway.child.returncode == 0
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 
 import pytest
-from platform_stage import SETTINGS, Store, asking, ok, play, staged, until
+from platform_stage import SETTINGS, Store, asking, ok, run_test, staged, until
 
 from tansykeel.platform import pool as pool_module
 
@@ -59,7 +59,7 @@
             assert [request.fields[b"x-txn"][-1:] for request in store.got] == [b"2"]
             await until(lambda: not stage.gateway.core.held)
 
-    play(go())
+    run_test(go())
 
 
 @both
@@ -87,7 +87,7 @@
             assert (await (await stage.client()).ask(3)).status == 200
             assert [request.fields[b"x-txn"][-1:] for request in store.got] == [b"3"]
 
-    play(go())
+    run_test(go())
 
 
 @both
@@ -118,7 +118,7 @@
             assert [request.fields[b"x-txn"][-1:] for request in store.got[before:]] == [b"2"]
             await until(lambda: not stage.gateway.core.held)
 
-    play(go())
+    run_test(go())
 
 
 @both
@@ -143,7 +143,7 @@
             assert (await (await stage.client()).ask(2)).status == 200
             assert [request.fields[b"x-txn"][-1:] for request in store.got] == [b"1", b"2"]
 
-    play(go())
+    run_test(go())
 
 
 @both
@@ -173,7 +173,7 @@
             assert (await (await stage.client()).ask(99)).status == 200
             assert {request.fields[b"x-txn"] for request in store.got} - begun == {b"%016x" % 99}
 
-    play(go())
+    run_test(go())
 
 
 def test_a_flood_behind_an_open_request_is_told_an_error_and_its_task_given_up(tmp_path):
@@ -190,4 +190,4 @@
             assert (await other.ask(3)).status == 200 and len(store.got) == 2
             assert not stage.gateway.open_requests and stage.gateway.clients.unread_bytes() == 0
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_log_output.py
+++ b/tests/platform/test_log_output.py
@@ -12,7 +12,7 @@
 
 import pytest
 from platform_process import HEALTH, Process
-from platform_stage import List, Store, asking, ok, play, until
+from platform_stage import List, Store, asking, ok, run_test, until
 
 ONE_PAGE = 4096  # bytes
 
@@ -75,7 +75,7 @@
         await store.stop()
         await list_.stop()
 
-    play(go())
+    run_test(go())
 
 
 def test_a_reader_that_comes_back_finds_whole_lines_and_how_many_are_missing(tmp_path):
@@ -95,4 +95,4 @@
             assert lines and lines[0]["lines_lost"] >= 1
         await list_.stop()
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_partly_written.py
+++ b/tests/platform/test_partly_written.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from platform_stage import SETTINGS, Store, asking, play, staged, until
+from platform_stage import SETTINGS, Store, asking, run_test, staged, until
 
 SLACK = 0.15  # seconds by which the time told to a store may be over what the client has left
 NO_CANCEL = SETTINGS | {"Limits": SETTINGS["Limits"] | {"Cancel": False}}
@@ -65,7 +65,7 @@
             late = [told for came, told in store.whole.values() if told > sent + 2.0 - came + SLACK]
             assert not late
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("settings", [SETTINGS, NO_CANCEL], ids=["cancel", "no cancel"])
@@ -81,4 +81,4 @@
             await asyncio.sleep(1.2)
             assert not store.whole
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -11,7 +11,7 @@
 
 import pytest
 from platform_process import HEALTH, free_port, process
-from platform_stage import List, Store, asking, ok, play, until
+from platform_stage import List, Store, asking, ok, run_test, until
 
 
 @pytest.mark.parametrize("discovery", ["up", "silent", "refused"])
@@ -27,7 +27,7 @@
             assert gateway.processor_s() < 2.0 and time.monotonic() - gateway.begun < 10.0
         await list_.stop()
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("sockets", [64, 128, 256])
@@ -63,7 +63,7 @@
         await store.stop()
         await list_.stop()
 
-    play(go(), 40)
+    run_test(go(), 40)
 
 
 @pytest.mark.parametrize("moment", ["before the list", "ready", "twice"])
@@ -85,7 +85,7 @@
             assert '"left_unanswered": 0' in gateway.said()
         await list_.stop()
 
-    play(go())
+    run_test(go())
 
 
 def test_floods_and_slow_ones_are_told_so_and_paying_requests_go_on(tmp_path):
@@ -135,4 +135,4 @@
         await store.stop()
         await list_.stop()
 
-    play(go(), 40)
+    run_test(go(), 40)
--- a/tests/platform/test_second_answers.py
+++ b/tests/platform/test_second_answers.py
@@ -7,7 +7,7 @@
 import random
 
 import pytest
-from platform_stage import SETTINGS, Store, asking, ok, play, staged, until
+from platform_stage import SETTINGS, Store, asking, ok, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform import pool as pool_module
@@ -92,7 +92,7 @@
             assert (await answered).body == b"%016x" % id
             assert len(store.writers) == 2
 
-    play(go())
+    run_test(go())
 
 
 def test_an_answer_that_was_given_up_ends_its_connection_at_once_where_that_may_be(tmp_path):
@@ -102,7 +102,7 @@
             assert (await (await stage.client()).ask(1, x_remaining="0.3")).status in (500, 503)
             assert not connections(stage)
 
-    play(go())
+    run_test(go())
 
 
 def test_connections_of_a_store_that_answered_twice_cool_down_for_longer(tmp_path):
@@ -134,7 +134,7 @@
                 check()
             assert pool.cool_down == pool_module.COOL_DOWN
 
-    play(go())
+    run_test(go())
 
 
 def test_the_cool_down_has_a_bound_and_belongs_to_one_store(tmp_path):
@@ -153,7 +153,7 @@
             cool_downs = {pool.store.handle: pool.cool_down for pool in stage.gateway.stores.pools.values()}
             assert cool_downs == {"s0": pool_module.MOST_COOL_DOWN, "s1": pool_module.COOL_DOWN}
 
-    play(go())
+    run_test(go())
 
 
 def test_bytes_on_a_new_connection_are_no_second_answer(tmp_path):
@@ -172,7 +172,7 @@
             await until(lambda: len(pool.connections) == 1)
             assert pool.cool_down == pool_module.COOL_DOWN
 
-    play(go())
+    run_test(go())
 
 
 class TwiceStore(Store):
@@ -270,4 +270,4 @@
             for task in store.tasks:
                 task.cancel()
 
-    play(go(), seconds=60)
+    run_test(go(), seconds=60)
--- a/tests/platform/test_sent_ahead.py
+++ b/tests/platform/test_sent_ahead.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from platform_stage import Store, asking, ok, play, staged, until
+from platform_stage import Store, asking, ok, run_test, staged, until
 
 from tansykeel.platform import program
 
@@ -46,7 +46,7 @@
             }
             assert not late
 
-    play(go())
+    run_test(go())
 
 
 def test_one_whose_time_is_up_before_its_turn_is_answered_and_not_sent(tmp_path):
@@ -59,7 +59,7 @@
             assert (await client.answer()).status == 503
             assert len(store.told) == 1
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("moment", ["serving", "ended"])
@@ -84,7 +84,7 @@
             assert not answers[-1].lasts
             assert await client.ended()
 
-    play(go())
+    run_test(go())
 
 
 def test_a_request_behind_one_with_more_time_is_answered_in_time(tmp_path):
@@ -104,4 +104,4 @@
             assert await client.answer() and await client.answer()
             assert time.monotonic() - sent <= 0.5 + answer_grace
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from platform_stage import Store, asking, ok, play, staged, until
+from platform_stage import Store, asking, ok, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform.clients import Clients
@@ -35,7 +35,7 @@
             assert len((await slow.answer()).body) == 1_000_000
             await until(lambda: clients.close_one_for_descriptor() or not clients.conns)
 
-    play(go())
+    run_test(go())
 
 
 async def read_part(sock: socket.socket, size: int) -> bytes:
@@ -81,4 +81,4 @@
                 assert read + await read_part(slow, len(whole) - len(read)) == whole
             slow.close()
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_slow_discovery.py
+++ b/tests/platform/test_slow_discovery.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from platform_stage import List, Store, play, staged, until
+from platform_stage import List, Store, run_test, staged, until
 
 
 class SlowList(List):
@@ -33,4 +33,4 @@
             await until(lambda: stage.gateway.core.list_version == 5, seconds + 2.0)
             assert len(stage.gateway.discovery.watches) <= 4
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_start_signals.py
+++ b/tests/platform/test_start_signals.py
@@ -13,7 +13,7 @@
 
 import pytest
 from platform_process import HEALTH, Process, process
-from platform_stage import List, play, until
+from platform_stage import List, run_test, until
 
 ROOT = Path(__file__).parents[2]
 MOMENTS = [0.0, 0.05, 0.1, 0.2, 0.3]  # seconds after the program has begun
@@ -50,7 +50,7 @@
         await first.stop()
         await second.stop()
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("moment", [0.0, 0.1, 0.3])
@@ -69,7 +69,7 @@
             assert time.monotonic() - sent < 3.7
         await list_.stop()
 
-    play(go())
+    run_test(go())
 
 
 def test_as_the_deploy_file_starts_it_sighup_ends_nothing_before_the_program_has_begun(tmp_path, monkeypatch):
@@ -95,4 +95,4 @@
         await first.stop()
         await second.stop()
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from platform_stage import SETTINGS, Store, asking, no_descriptors, ok, play, staged, until
+from platform_stage import SETTINGS, Store, asking, no_descriptors, ok, run_test, staged, until
 
 from tansykeel.platform import connection as connection_module
 from tansykeel.platform import pool as pool_module
@@ -50,7 +50,7 @@
                 assert (answer.status, answer.body) == (200, b"x" * size)
             assert len(store.writers) == 2 and stage.gateway.core.counts.outcomes == {"delivered": 2}
 
-    play(go())
+    run_test(go())
 
 
 @once
@@ -75,7 +75,7 @@
             assert (answer.status, len(store.got)) == ((500, 1) if settings is ONCE else (200, 2))
             assert stage.gateway.core.counts.outcomes["reset"] == 1
 
-    play(go())
+    run_test(go())
 
 
 def test_an_answer_without_a_length_that_never_ends_is_let_go_at_the_bound(tmp_path):
@@ -85,7 +85,7 @@
             assert (await (await stage.client()).ask(1)).status == 503
             assert stage.gateway.core.counts.outcomes == {"error": 3} and stage.gateway.stores.held_bytes() == 0
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -101,7 +101,7 @@
             store.reply = lambda request: ok(b"own")
             assert (await served(client)).body == b"own"
 
-    play(go())
+    run_test(go())
 
 
 def test_an_endless_answer_to_a_task_that_has_its_own_is_let_go_in_time(tmp_path, monkeypatch):
@@ -121,7 +121,7 @@
             pool.check_timeouts(stores.now())
             assert not pool.connections
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("what", [b"half a li", ok(b"copy"), ok(b"copy")[:9]])
@@ -150,7 +150,7 @@
             assert (await client.ask(3)).body == b"%016x" % 3
             assert [request.fields[b"x-txn"] for request in store.got] == [b"%016x" % id for id in (1, 2, 3)]
 
-    play(go())
+    run_test(go())
 
 
 def test_a_connection_rests_after_an_answer_though_no_other_may_be_opened(tmp_path, monkeypatch):
@@ -169,7 +169,7 @@
             store.writers[0].write(ok(b"copy"))
             assert (await client.answer()).body == b"%016x" % 2
 
-    play(go())
+    run_test(go())
 
 
 @once
@@ -200,7 +200,7 @@
             assert (answer.status, len(store.got)) == ((500, 1) if ran else (200, 2 if whole else 1))
             assert ("reset" in stage.gateway.core.counts.outcomes) is whole
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("leaves", [True, False])
@@ -237,7 +237,7 @@
             pool = next(iter(stage.gateway.stores.pools.values()))
             assert not pool.waiting and not store.got and not any(one.attempt for one in pool.connections)
 
-    play(go())
+    run_test(go())
 
 
 def test_an_answer_that_is_there_when_the_time_is_up_and_an_end_behind_it(tmp_path):
@@ -260,7 +260,7 @@
             store.reply = lambda request: ok()
             await served(client)
 
-    play(go())
+    run_test(go())
 
 
 def test_no_descriptor_for_a_first_attempt_makes_room_and_says_nothing_of_the_store(tmp_path, monkeypatch):
@@ -273,4 +273,4 @@
             assert (await (await stage.client()).ask(1)).status == 200
             assert len(refused) == 3 and stage.gateway.core.counts.outcomes == {"delivered": 1}
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_system_calls.py
+++ b/tests/platform/test_system_calls.py
@@ -8,7 +8,7 @@
 import socket
 
 import pytest
-from platform_stage import Store, asking, play, staged, until
+from platform_stage import Store, asking, run_test, staged, until
 
 from tansykeel.platform import periodic_checks
 from tansykeel.transport import sockets
@@ -87,7 +87,7 @@
             assert [answer and answer.status for answer in answers] == [200] * 40
             assert not stage.gateway.clients.unanswered
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("failure", FAILURES, ids=lambda failure: errno.errorcode[failure])
@@ -159,7 +159,7 @@
             if failures < 1000:
                 assert all(map(sends_without_delay, accepted))
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("failure", OPTION_FAILURES, ids=lambda failure: errno.errorcode[failure])
@@ -176,7 +176,7 @@
             assert [answer and answer.status for answer in answers] == [200] * 6
             assert stage.gateway.core.counts.outcomes == {"delivered": 6}
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("call", ["setsockopt", "bind", "listen"])
@@ -245,7 +245,7 @@
             assert await stage.serving == 0
             assert len(failures) == 6 and not stage.gateway.clients.conns
 
-    play(go())
+    run_test(go())
 
 
 def test_an_address_that_is_taken_is_told_at_once():
@@ -275,7 +275,7 @@
             assert (await begun.answer()).status == 404
             assert (await new.ask(2)).status == 200
 
-    play(go())
+    run_test(go())
 
 
 def test_a_lack_of_descriptors_sheds_one_client_a_turn(tmp_path, monkeypatch):
@@ -297,7 +297,7 @@
             assert ends["room was needed"] - before <= len(burst)
             assert len(stage.gateway.clients.conns) >= len(burst)
 
-    play(go())
+    run_test(go())
 
 
 def test_a_connect_that_fails_here_for_a_moment_says_nothing_of_the_store(tmp_path, monkeypatch):
@@ -326,7 +326,7 @@
             assert len(connects) > 8
             assert "no connection" not in stage.gateway.core.counts.outcomes
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("failure", [errno.ETIMEDOUT, errno.EHOSTUNREACH], ids=lambda failure: errno.errorcode[failure])
@@ -368,4 +368,4 @@
             assert (answer.status, answer.body) == (200, b"whole")
             assert stage.gateway.core.counts.outcomes == {"reset": 1, "delivered": 1}
 
-    play(go())
+    run_test(go())
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -273,7 +273,7 @@
         await asyncio.sleep(0.005)
 
 
-def play(coroutine, seconds=20):
+def run_test(coroutine, seconds=20):
     async def bounded():
         async with asyncio.timeout(seconds):
             await coroutine
