--- a/tests/platform/test_ending.py
+++ b/tests/platform/test_ending.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 
 import pytest
-from platform_stage import List, Store, asking, configuration, ok, run_test, staged, until
+from platform_stage import List, Store, configuration, ok, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform import program
@@ -35,7 +35,7 @@
         async with staged(tmp_path, store) as stage:
             held, kept = await stage.client(), await stage.client()
             assert (await kept.ask(2)).lasts
-            held.writer.write(asking(1))
+            held.writer.write(request_bytes(1))
             await until(lambda: len(store.got) == 2)
             stage.gateway.stop()
             late = await stage.client()  # still taken
@@ -80,12 +80,12 @@
         store = Store("s0", 0)
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
-            client.writer.write(asking(1)[:1])
+            client.writer.write(request_bytes(1)[:1])
             await until(lambda: any(one.reader.partial for one in stage.gateway.clients.conns))
             stage.gateway.stop()
             await until(lambda: stage.gateway.closing)
             if goes_on:
-                client.writer.write(asking(1)[1:])
+                client.writer.write(request_bytes(1)[1:])
             answer = await client.answer()
             assert (answer.status, answer.lasts, len(store.got)) == ((200, False, 1) if goes_on else (503, False, 0))
             client.writer.close()
@@ -108,7 +108,7 @@
             def connect():
                 late.connect(("127.0.0.1", stage.port))
                 if asks:
-                    late.send(asking(1))
+                    late.send(request_bytes(1))
 
             def connect_then_accept(listener, take):
                 connect()
@@ -127,7 +127,7 @@
             await until(lambda: stage.gateway.core.stopping if moment == "_answer_remaining" else stage.gateway.closing)
             if not asks:
                 await asyncio.sleep(0.1)  # it is given time to ask, as its request may be on the way
-                late.send(asking(1))
+                late.send(request_bytes(1))
             late.setblocking(False)
             answers = codec.AnswerReader()
             while (answer := answers.next()) is None:
@@ -175,13 +175,13 @@
         store = Store("s0", 0)
         async with staged(tmp_path, store) as stage:
             client, quiet = socket.create_connection(("127.0.0.1", stage.port)), Stream.quiet
-            client.send(asking(1))
+            client.send(request_bytes(1))
             await until(lambda: stage.gateway.core.counts.delivered)
 
             def quiet_then_asked(stream):
                 was = quiet(stream)
                 if was and stage.gateway.closing and len(sent) < 1:
-                    sent.append(client.send(asking(2)))
+                    sent.append(client.send(request_bytes(2)))
                 return was
 
             sent = []
@@ -209,7 +209,7 @@
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect(("127.0.0.1", stage.port))
-            client.send(asking(1))
+            client.send(request_bytes(1))
             await until(
                 lambda: (
                     stage.gateway.core.counts.delivered
--- a/tests/platform/test_epoll_failures.py
+++ b/tests/platform/test_epoll_failures.py
@@ -23,7 +23,7 @@
 
 import pytest
 from platform_process import free_port
-from platform_stage import List, Store, asking, configuration, run_test, staged, until
+from platform_stage import List, Store, configuration, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.transport.epoll_selector import RetryingEpollSelector
@@ -80,7 +80,7 @@
     clients = open_clients(port, count)
     time.sleep(ACCEPTED_WITHIN)
     for number, client in enumerate(clients, 1):
-        client.sendall(asking(number))
+        client.sendall(request_bytes(number))
     statuses = [status_of_answer(client) for client in clients]
     for client in clients:
         client.close()
--- a/tests/platform/test_final_answers.py
+++ b/tests/platform/test_final_answers.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from platform_stage import Store, asking, run_test, staged, until
+from platform_stage import Store, request_bytes, run_test, staged, until
 
 from tansykeel.brain import Scheduler
 
@@ -61,11 +61,11 @@
             await until(lambda: stage.gateway.core.list_version == 5)
             stage.gateway.stores.most = 1
             first, left, last = [await stage.client() for _ in range(3)]
-            first.writer.write(asking(1, x_remaining="0.8"))
+            first.writer.write(request_bytes(1, x_remaining="0.8"))
             await until(lambda: held.got)
-            left.writer.write(asking(2, x_extent="units=2,shard=2,hosts=1"))
+            left.writer.write(request_bytes(2, x_extent="units=2,shard=2,hosts=1"))
             await until(lambda: stage.gateway.stores.has_waiting())
-            last.writer.write(asking(3, x_extent="units=2,shard=1,hosts=1"))
+            last.writer.write(request_bytes(3, x_extent="units=2,shard=1,hosts=1"))
             await until(lambda: len(stage.gateway.stores._waiting_for_room) == 2)
             left.writer.transport.abort()
             async with asyncio.timeout(1.5):
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from platform_stage import VOLUME, List, Store, asking, ok, run_test, staged, until
+from platform_stage import VOLUME, List, Store, ok, request_bytes, run_test, staged, until
 
 from tansykeel.platform.clients import Clients
 
@@ -79,7 +79,7 @@
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
             client = await stage.client()
-            client.writer.write(asking(1, content_length="60000000") + b"x" * (8 << 20))
+            client.writer.write(request_bytes(1, content_length="60000000") + b"x" * (8 << 20))
             assert (await client.answer()).status == 413
             await until(lambda: not stage.gateway.clients.conns)
 
@@ -91,7 +91,7 @@
         store = Store("s0", 0, lambda request: None)
         async with staged(tmp_path, store) as stage:
             first, second = await stage.client(), await stage.client()
-            first.writer.write(asking(7))
+            first.writer.write(request_bytes(7))
             await until(lambda: store.got)
             assert (await second.ask(7)).status == 409 and len(store.got) == 1
             store.writers[0].write(ok())
@@ -207,7 +207,7 @@
         store = Store("s0", 0, lambda request: None)
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
-            client.writer.write(asking(1))
+            client.writer.write(request_bytes(1))
             await until(lambda: store.got)
             client.writer.close()
             await until(lambda: not stage.gateway.core.held and not stage.gateway.open_requests)
@@ -239,7 +239,7 @@
             gateway, client = stage.gateway, await stage.client()
             await until(lambda: gateway.core.list_version >= 0)
             gateway.stores.room = lambda make=True: False  # as if no descriptor were left
-            client.writer.write(asking(1))
+            client.writer.write(request_bytes(1))
             await until(lambda: any(pool.waiting for pool in gateway.stores.pools.values()))
             del gateway.stores.room
             stage.list.tell([store.row(phase="Terminating"), other.row()])
@@ -292,7 +292,7 @@
     async def go():
         async with staged(tmp_path, Store("s0", 0)) as stage:
             silent, half = await stage.client(), await stage.client()
-            half.writer.write(asking(1, body=b"abc")[:-1])
+            half.writer.write(request_bytes(1, body=b"abc")[:-1])
             assert (await silent.answer()).status == 408 and (await half.answer()).status == 408
             assert await half.ended()
 
@@ -316,7 +316,7 @@
             stage.gateway.clients.max_unread_bytes = 100_000
             first, second = await stage.client(), await stage.client()
             for client in (first, second):
-                client.writer.write(asking(1, body=b"x" * 60_000)[:-1])
+                client.writer.write(request_bytes(1, body=b"x" * 60_000)[:-1])
             answers = [asyncio.create_task(client.answer()) for client in (first, second)]
             done, waiting = await asyncio.wait(answers, return_when=asyncio.FIRST_COMPLETED)
             assert [task.result().status for task in done] == [503] and len(waiting) == 1
@@ -346,7 +346,7 @@
         store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
-            client.writer.write(b"".join(asking(id) for id in range(1, 30)))
+            client.writer.write(b"".join(request_bytes(id) for id in range(1, 30)))
             assert [(await client.answer()).body for _ in range(1, 30)] == [b"%016x" % id for id in range(1, 30)]
 
     run_test(go())
@@ -383,7 +383,7 @@
         async with staged(tmp_path, Store("s0", 0)) as stage:
             gateway, (first, second) = stage.gateway, (await stage.client(), await stage.client())
             parse_task, gateway.request_parser.parse_task = gateway.request_parser.parse_task, None
-            first.writer.write(asking(1))
+            first.writer.write(request_bytes(1))
             assert await first.ended()
             gateway.request_parser.parse_task = parse_task
             assert (await second.ask(2)).status == 200
--- a/tests/platform/test_held_up.py
+++ b/tests/platform/test_held_up.py
@@ -10,7 +10,7 @@
 
 import pytest
 from platform_process import HEALTH, process
-from platform_stage import List, Store, asking, ok, run_test, until
+from platform_stage import List, Store, ok, request_bytes, run_test, until
 
 from tansykeel.http1 import codec
 
@@ -60,7 +60,7 @@
     list_.rows = [store.row()]
     async with process(tmp_path, list_.address, [store]) as gateway:
         assert (await gateway.ask(HEALTH)).status == 200
-        assert (await gateway.ask(asking(1))).status == 200
+        assert (await gateway.ask(request_bytes(1))).status == 200
         yield gateway, store, list_
     await store.stop()
     await list_.stop()
@@ -86,7 +86,7 @@
                 clients = clients or [await Client().connect(gateway) for _ in range(4)]
                 sent = time.monotonic()
                 for id, client in enumerate(clients, 10):
-                    client.writer.write(asking(id, x_remaining="2.0"))
+                    client.writer.write(request_bytes(id, x_remaining="2.0"))
             answers = await asyncio.gather(*(client.answer() for client in clients))
             assert all(answer and answer.status in (200, 503) for answer in answers)
             told = {id: store.came[id] for id in range(10, 14) if id in store.came}
@@ -101,7 +101,7 @@
             client = await Client().connect(gateway)
             await asyncio.sleep(0.2)
             async with held_up(gateway):
-                client.writer.write(asking(10))
+                client.writer.write(request_bytes(10))
                 await asyncio.sleep(0.1)
                 list_.tell([store.row(phase="Terminating")])
             assert (await client.answer()).status == 503
@@ -117,13 +117,13 @@
         async with one_gateway(tmp_path) as (gateway, store, _):
             clients = [await Client().connect(gateway) for _ in range(40)]  # a crowd: who idles for 2 s is ended
             for id, client in enumerate(clients, 10):
-                client.writer.write(asking(id))
+                client.writer.write(request_bytes(id))
             assert all([await client.answer() for client in clients])
             await asyncio.sleep(1.2)
             async with held_up(gateway):
                 await asyncio.sleep(0.1)
                 for id, client in enumerate(clients, 100):
-                    client.writer.write(asking(id))
+                    client.writer.write(request_bytes(id))
             answers = await asyncio.gather(*(client.answer() for client in clients))
             assert [answer and answer.status in (200, 503) for answer in answers] == [True] * len(clients)
 
@@ -141,7 +141,7 @@
             await asyncio.sleep(0.3)
             async with held_up(gateway, 3.5):
                 for id, client in enumerate(clients, 10):
-                    client.writer.write(asking(id))
+                    client.writer.write(request_bytes(id))
             answers = await asyncio.gather(*(client.answer() for client in clients))
             assert [answer and answer.status for answer in answers] == [503] * 4
             await until(lambda: gateway.child.poll() is not None, 6.0)
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 
 import pytest
-from platform_stage import SETTINGS, Store, asking, ok, run_test, staged, until
+from platform_stage import SETTINGS, Store, ok, request_bytes, run_test, staged, until
 
 from tansykeel.platform import pool as pool_module
 
@@ -47,7 +47,7 @@
             stores, client = stage.gateway.stores, connected(stage)
             await until(lambda: stage.gateway.core.list_version == 5)
             room = closed_to_new(stage, [1])
-            client.send(asking(1))
+            client.send(request_bytes(1))
             await until(lambda: any(pool.waiting for pool in stores.pools.values()))
             leave(client, way)
             await left(stage)
@@ -74,12 +74,12 @@
             stores, client = stage.gateway.stores, connected(stage)
             await until(lambda: stage.gateway.core.list_version == 5)
             room = closed_to_new(stage, [1])
-            client.send(asking(1))
+            client.send(request_bytes(1))
             await until(lambda: any(pool.waiting for pool in stores.pools.values()))
             client.setblocking(False)
             begun = time.monotonic()
             with suppress(BlockingIOError):
-                client.send((asking(2, body=b"x" * 60_000) * 6)[:ahead])
+                client.send((request_bytes(2, body=b"x" * 60_000) * 6)[:ahead])
             leave(client, way)
             await left(stage)
             assert time.monotonic() - begun < 2.0  # before its time is up
@@ -112,7 +112,7 @@
 
             stage.gateway.stores.hand_off = leaves_then
             before = len(store.got)
-            client.send(asking(1))
+            client.send(request_bytes(1))
             await left(stage)
             assert (await (await stage.client()).ask(2)).status == 200
             assert [request.fields[b"x-txn"][-1:] for request in store.got[before:]] == [b"2"]
@@ -138,7 +138,7 @@
                 answered(attempt, answer)
 
             stage.gateway.stores.answered = leaves_then
-            client.send(asking(1))
+            client.send(request_bytes(1))
             await left(stage)
             assert (await (await stage.client()).ask(2)).status == 200
             assert [request.fields[b"x-txn"][-1:] for request in store.got] == [b"1", b"2"]
@@ -156,7 +156,7 @@
             await until(lambda: stage.gateway.core.list_version == 5)
             clients = [connected(stage) for _ in range(20)]
             for id, client in enumerate(clients, 1):
-                client.send(asking(id))
+                client.send(request_bytes(id))
             await until(lambda: store.got and stage.gateway.core.counts.taken == 20)
             answered = stage.gateway.stores.answered
 
@@ -181,9 +181,9 @@
         store = Store("s0", 0, lambda request: None)
         async with staged(tmp_path, store) as stage:
             flood, other = await stage.client(), await stage.client()
-            flood.writer.write(asking(1))
+            flood.writer.write(request_bytes(1))
             await until(lambda: store.got)
-            flood.writer.write(asking(2, body=b"x" * 60_000) * 40)
+            flood.writer.write(request_bytes(2, body=b"x" * 60_000) * 40)
             answer = await flood.answer()
             assert (answer.status, answer.lasts) == (413, False)
             store.reply = lambda request: ok()
--- a/tests/platform/test_log_output.py
+++ b/tests/platform/test_log_output.py
@@ -12,7 +12,7 @@
 
 import pytest
 from platform_process import HEALTH, Process
-from platform_stage import List, Store, asking, ok, run_test, until
+from platform_stage import List, Store, ok, request_bytes, run_test, until
 
 ONE_PAGE = 4096  # bytes
 
@@ -63,9 +63,9 @@
         list_.rows = [store.row()]
         async with process_with(tmp_path, kind, list_.address, [store]) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
-            assert (await gateway.ask(asking(1))).status == 200
+            assert (await gateway.ask(request_bytes(1))).status == 200
             path = b"/api/00000003b4d60021/00000000000000ff"
-            held = [asyncio.create_task(gateway.ask(asking(id, path=path))) for id in (2, 3, 4)]
+            held = [asyncio.create_task(gateway.ask(request_bytes(id, path=path))) for id in (2, 3, 4)]
             await until(lambda: len(store.got) >= 4)
             gateway.child.send_signal(signal.SIGTERM)
             answers = await asyncio.gather(*held)
--- a/tests/platform/test_partly_written.py
+++ b/tests/platform/test_partly_written.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from platform_stage import SETTINGS, Store, asking, run_test, staged, until
+from platform_stage import SETTINGS, Store, request_bytes, run_test, staged, until
 
 SLACK = 0.15  # seconds by which the time told to a store may be over what the client has left
 NO_CANCEL = SETTINGS | {"Limits": SETTINGS["Limits"] | {"Cancel": False}}
@@ -58,7 +58,7 @@
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             sent = time.monotonic()
-            client.writer.write(asking(1, body=BODY, x_remaining="2.0"))
+            client.writer.write(request_bytes(1, body=BODY, x_remaining="2.0"))
             answer = await client.answer()
             assert answer and answer.status in (200, 503)
             await asyncio.sleep(0.2)
@@ -74,7 +74,7 @@
         store = SlowReadingStore("s0", 0, 0.6)
         async with staged(tmp_path, store, settings=settings) as stage:
             client = await stage.client()
-            client.writer.write(asking(1, body=BODY))
+            client.writer.write(request_bytes(1, body=BODY))
             await until(lambda: stage.gateway.core.counts.hand_offs == 1)
             await asyncio.sleep(0.05)
             client.writer.transport.abort()
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -11,7 +11,7 @@
 
 import pytest
 from platform_process import HEALTH, free_port, process
-from platform_stage import List, Store, asking, ok, run_test, until
+from platform_stage import List, Store, ok, request_bytes, run_test, until
 
 
 @pytest.mark.parametrize("discovery", ["up", "silent", "refused"])
@@ -44,7 +44,7 @@
             for n in range(2 * sockets):
                 sock = socket.create_connection(("127.0.0.1", gateway.port), 5.0)
                 with suppress(OSError):
-                    sock.send([b"", HEALTH, asking(n)[:9]][n % 3])
+                    sock.send([b"", HEALTH, request_bytes(n)[:9]][n % 3])
                 crowd.append(sock)
                 most = max(most, gateway.descriptors())
                 if n % 8 == 0:
@@ -55,7 +55,7 @@
             list_.writers = []
             begun = time.monotonic()
             await until(lambda: list_.asked, 6.0)
-            answer = await gateway.ask(asking(1 << 40))
+            answer = await gateway.ask(request_bytes(1 << 40))
             assert (answer.status, answer.body) == (200, b"data") and time.monotonic() - begun < 6.0
             assert "Too many open files" not in gateway.said() and '"failed"' not in gateway.said()
             for sock in crowd:
@@ -108,22 +108,22 @@
                     sock.send(
                         [
                             b"",
-                            asking(n)[:1],
-                            asking(n, body=b"x" * 60_000)[:50_000],
-                            asking(n, content_length="60000000") + b"x" * 100_000,
-                            asking(n + 100),
+                            request_bytes(n)[:1],
+                            request_bytes(n, body=b"x" * 60_000)[:50_000],
+                            request_bytes(n, content_length="60000000") + b"x" * 100_000,
+                            request_bytes(n + 100),
                         ][n % 5]
                     )
                 bad.append(sock)
             end, statuses, at, served, id = time.monotonic() + 4.0, {}, {}, 0, 1 << 40
             while time.monotonic() < end:
                 id += 1
-                served += (await gateway.ask(asking(id))).status == 200
+                served += (await gateway.ask(request_bytes(id))).status == 200
                 for n, sock in enumerate(bad):
                     with suppress(OSError):
                         if n % 5 == 1 and (due := int((time.monotonic() - end + 4.0) * 20)) > at.get(n, 0):
                             at[n] = due
-                            sock.send(asking(n)[due : due + 1])
+                            sock.send(request_bytes(n)[due : due + 1])
                         if n % 5 != 3 and (said := sock.recv(64)):  # the fourth kind never reads its error
                             statuses.setdefault(n % 5, re.search(rb"HTTP/1.1 (\d+)", said))
             assert served > 20
--- a/tests/platform/test_second_answers.py
+++ b/tests/platform/test_second_answers.py
@@ -7,7 +7,7 @@
 import random
 
 import pytest
-from platform_stage import SETTINGS, Store, asking, ok, run_test, staged, until
+from platform_stage import SETTINGS, Store, ok, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform import pool as pool_module
@@ -50,7 +50,7 @@
 async def sent_on(client, store):
     """Ask until the gateway trusts the store again after a time that was up; the request's id and its answer."""
     for id in range(100, 200):
-        client.writer.write(asking(id))
+        client.writer.write(request_bytes(id))
         answered = asyncio.create_task(client.answer())
         await until(lambda id=id, answered=answered: id in store.came or answered.done())
         if id in store.came:
@@ -77,7 +77,7 @@
                 assert (await client.ask(1, x_remaining="0.3")).status in (500, 503)
                 client = await stage.client()
             else:
-                client.writer.write(asking(1))
+                client.writer.write(request_bytes(1))
                 await until(lambda: store.came)
                 client.writer.transport.abort()
                 await until(lambda: stage.gateway.core.counts.left == 1)
--- a/tests/platform/test_sent_ahead.py
+++ b/tests/platform/test_sent_ahead.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from platform_stage import Store, asking, ok, run_test, staged, until
+from platform_stage import Store, ok, request_bytes, run_test, staged, until
 
 from tansykeel.platform import program
 
@@ -36,7 +36,7 @@
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             sent = time.monotonic()
-            client.writer.write(b"".join(asking(id, x_remaining="1.0") for id in (1, 2, 3)))
+            client.writer.write(b"".join(request_bytes(id, x_remaining="1.0") for id in (1, 2, 3)))
             statuses = [(await client.answer()).status for _ in range(3)]
             assert statuses[0] == 200 and time.monotonic() - sent < 1.0 + 0.1
             late = {
@@ -54,7 +54,7 @@
         store = SlowStore("s0", 0, 0.6)
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
-            client.writer.write(asking(1, x_remaining="1.0") + asking(2, x_remaining="0.5"))
+            client.writer.write(request_bytes(1, x_remaining="1.0") + request_bytes(2, x_remaining="0.5"))
             assert (await client.answer()).status == 200
             assert (await client.answer()).status == 503
             assert len(store.told) == 1
@@ -76,7 +76,7 @@
             stage.gateway.stop()
             await until(lambda: stage.gateway.closing)
             client = await stage.client()
-            client.writer.write(b"".join(asking(id) for id in (1, 2, 3, 4)))
+            client.writer.write(b"".join(request_bytes(id) for id in (1, 2, 3, 4)))
             answers = [await client.answer() for _ in range(4)]
             statuses = [answer and answer.status for answer in answers]
             assert statuses[0] == (200 if moment == "serving" else 503)
@@ -100,7 +100,7 @@
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             sent = time.monotonic()
-            client.writer.write(asking(1, x_remaining="2.0") + asking(2, x_remaining="0.5"))
+            client.writer.write(request_bytes(1, x_remaining="2.0") + request_bytes(2, x_remaining="0.5"))
             assert await client.answer() and await client.answer()
             assert time.monotonic() - sent <= 0.5 + answer_grace
 
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from platform_stage import Store, asking, ok, run_test, staged, until
+from platform_stage import Store, ok, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform.clients import Clients
@@ -25,7 +25,7 @@
             await until(lambda: clients.conns)
             next(iter(clients.conns)).stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             slow.writer.transport.pause_reading()
-            slow.writer.write(asking(1, connection=connection))
+            slow.writer.write(request_bytes(1, connection=connection))
             await until(lambda: any(client.stream.unsent for client in clients.conns))
             clients.make_room()
             assert not clients.close_one_for_descriptor()
@@ -60,7 +60,7 @@
             await until(lambda: clients.conns)
             client = next(iter(clients.conns))
             client.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            slow.send(asking(1))
+            slow.send(request_bytes(1))
             await until(lambda: client.stream.unsent)
             now = clients.now()
             clients.now, late, read = (lambda: now), 0, b""
--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from platform_stage import SETTINGS, Store, asking, no_descriptors, ok, run_test, staged, until
+from platform_stage import SETTINGS, Store, no_descriptors, ok, request_bytes, run_test, staged, until
 
 from tansykeel.platform import connection as connection_module
 from tansykeel.platform import pool as pool_module
@@ -43,7 +43,7 @@
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             for id in (1, 2):
-                client.writer.write(asking(id))
+                client.writer.write(request_bytes(id))
                 await until(lambda id=id: len(store.got) == id)
                 end(store.writers[-1])
                 answer = await client.answer()
@@ -62,7 +62,7 @@
         store = Store("s0", 0, lambda request: head + b"bod" if len(store.got) == 1 else ok())
         async with staged(tmp_path, store, settings=settings) as stage:
             client = await stage.client()
-            client.writer.write(asking(1))
+            client.writer.write(request_bytes(1))
             await until(
                 lambda: any(
                     connection.reader and not connection.reader._head and connection.reader.size == 3
@@ -163,7 +163,7 @@
             stage.gateway.stores.most = 1
             client = await stage.client()
             assert (await client.ask(1)).body == b"%016x" % 1
-            client.writer.write(asking(2))
+            client.writer.write(request_bytes(2))
             await until(lambda: stage.gateway.core.counts.hand_offs == 2)
             assert len(store.got) == 1
             store.writers[0].write(ok(b"copy"))
@@ -191,7 +191,7 @@
                 write(stream, data)
 
             monkeypatch.setattr(Stream, "write", part)
-            client.writer.write(asking(1, body=b"abc"))
+            client.writer.write(request_bytes(1, body=b"abc"))
             await until(lambda: held and store.writers and (store.got or not whole))
             store.reply = lambda request: ok()
             reset(store.writers[0])
@@ -222,7 +222,7 @@
 
             monkeypatch.setattr(Stream, "_connected", held_back)
             client = await stage.client()
-            client.writer.write(asking(1, x_remaining="1.0"))
+            client.writer.write(request_bytes(1, x_remaining="1.0"))
             await until(lambda: late)
             if leaves:
                 client.writer.transport.abort()
@@ -247,7 +247,7 @@
         store = Store("s0", 0, lambda request: None)
         async with staged(tmp_path, store, settings=ONCE) as stage:
             client, core = await stage.client(), stage.gateway.core
-            client.writer.write(asking(1))
+            client.writer.write(request_bytes(1))
             await until(lambda: store.got)
             attempt = next(iter(core.held.values())).open_attempts[0]
             store.writers[0].write(ok())
--- a/tests/platform/test_system_calls.py
+++ b/tests/platform/test_system_calls.py
@@ -8,7 +8,7 @@
 import socket
 
 import pytest
-from platform_stage import Store, asking, run_test, staged, until
+from platform_stage import Store, request_bytes, run_test, staged, until
 
 from tansykeel.platform import periodic_checks
 from tansykeel.transport import sockets
@@ -360,7 +360,7 @@
             await until(lambda: stage.gateway.core.list_version == 5)
             monkeypatch.setattr("tansykeel.platform.connection.open_socket", open_breaking)
             client = await stage.client()
-            client.writer.write(asking(1))
+            client.writer.write(request_bytes(1))
             await until(lambda: opened and opened[0].has_read)
             for writer in store.writers:
                 writer.write(b" more")  # what wakes the loop to find the break
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -164,11 +164,11 @@
         return True
 
     async def ask(self, *arguments, **changes):
-        self.writer.write(asking(*arguments, **changes))
+        self.writer.write(request_bytes(*arguments, **changes))
         return await self.answer()
 
 
-def asking(id=1, method=b"GET", body=b"", path=b"/api/" + VOLUME + b"/" + DATA, **changes):
+def request_bytes(id=1, method=b"GET", body=b"", path=b"/api/" + VOLUME + b"/" + DATA, **changes):
     fields = {
         "host": "origin.svc",
         "x-txn": f"{id:016x}",
