--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -135,7 +135,7 @@
                     writer.write(b"%x\r\n%s\r\n" % (len(part), part))
 
 
-class Asker:
+class ClientConnection:
     """A client's connection."""
 
     def __init__(self, reader, writer):
@@ -200,7 +200,7 @@
         return sock
 
     async def client(self, receive=0):
-        asker = Asker(*await asyncio.open_connection(sock=await self.connected_socket(receive)))
+        asker = ClientConnection(*await asyncio.open_connection(sock=await self.connected_socket(receive)))
         self.askers.append(asker)
         return asker
 
