--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -39,7 +39,7 @@
     return b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (fields, len(body), body)
 
 
-class Port:
+class FakeServer:
     """A server whose `talk(reader, writer)` runs for each connection."""
 
     async def start(self):
@@ -60,7 +60,7 @@
             writer.transport.abort()
 
 
-class Store(Port):
+class Store(FakeServer):
     """A store; `reply(request)` gives the bytes to answer with, None to say nothing, b'' to reset."""
 
     def __init__(self, name, shard, reply=lambda request: ok()):
@@ -92,7 +92,7 @@
         } | changes
 
 
-class List(Port):
+class List(FakeServer):
     """Discovery; `tell` sends an object to whoever watches. `mute` says, for one watch after another, where each falls
     silent: "connect", "head", "object" (in the middle of one), "empty" (after an empty line). `drip(text)` says more to
     those. "end" ends one at once."""
