--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -6,7 +6,7 @@
 import json
 
 import pytest
-from platform_stage import List, Store, configuration, no_descriptors, run_test, staged, until
+from platform_stage import FakeDiscovery, Store, configuration, no_descriptors, run_test, staged, until
 
 from tansykeel.platform import discovery as discovery_module
 from tansykeel.platform.discovery import Watch
@@ -43,7 +43,7 @@
             gateway.reload_config()  # a file that can't be read changes nothing
             assert len(gateway.discovery.watches) == 1
             gateway.path = str(stage.path)
-            moved = await List().start()
+            moved = await FakeDiscovery().start()
             moved.revision, moved.rows = 9, stage.list.rows
             configuration(tmp_path, moved.address)
             gateway.reload_config()
@@ -99,7 +99,7 @@
 
     async def go():
         store, other = Store("s0", 0), Store("s1", 0)
-        async with staged(tmp_path, store, known=False, list_=List(indent=indent)) as stage:
+        async with staged(tmp_path, store, known=False, list_=FakeDiscovery(indent=indent)) as stage:
             await other.start()
             await until(lambda: stage.gateway.core.list_version == 5)
             stage.list.tell([store.row(), other.row(phase="Terminating")])
@@ -121,7 +121,7 @@
     more = len(further)
 
     async def go():
-        list_ = List(mute=[mute, *further])
+        list_ = FakeDiscovery(mute=[mute, *further])
         async with staged(tmp_path, Store("s0", 0), list_=list_) as stage:
             discovery, core = stage.gateway.discovery, stage.gateway.core
             clock = [discovery.now()]
@@ -181,7 +181,7 @@
     monkeypatch.setattr(Watch, "_data", counted)
 
     async def go():
-        list_ = List(mute=[mute])
+        list_ = FakeDiscovery(mute=[mute])
         async with staged(tmp_path, Store("s0", 0), list_=list_) as stage:
             discovery, core = stage.gateway.discovery, stage.gateway.core
             clock = [discovery.now()]
@@ -217,7 +217,7 @@
             discovery = stage.gateway.discovery
             await until(lambda: stage.gateway.core.list_version == 5)
             old = discovery.watches[0]
-            moved = await List(mute={"refused": [], "end": ["end"] * 3, "silent": ["connect"]}[first]).start()
+            moved = await FakeDiscovery(mute={"refused": [], "end": ["end"] * 3, "silent": ["connect"]}[first]).start()
             moved.revision, moved.rows = 9, stage.list.rows
             if first == "refused":
                 moved.server.close()
@@ -239,7 +239,7 @@
 def test_a_new_discovery_that_counts_lower_is_believed_but_undoes_no_drain(tmp_path, whole):
     """Guards against news that is not believed for good, and against a list behind the one before."""
 
-    class Changes(List):
+    class Changes(FakeDiscovery):
         def text(self, rows, full):
             return super().text(rows, full and (whole or self.asked != []))
 
@@ -275,7 +275,7 @@
         async with staged(tmp_path, Store("s0", 0)) as stage:
             discovery = stage.gateway.discovery
             await until(lambda: stage.gateway.core.list_version == 5)
-            between, last = await List(mute=["connect"] * 9).start(), await List().start()
+            between, last = await FakeDiscovery(mute=["connect"] * 9).start(), await FakeDiscovery().start()
             last.revision, last.rows = 12, stage.list.rows
             moving(stage, between, tmp_path)
             connecting = discovery.watches[-1]
--- a/tests/platform/test_ending.py
+++ b/tests/platform/test_ending.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 
 import pytest
-from platform_stage import List, Store, configuration, ok, request_bytes, run_test, staged, until
+from platform_stage import FakeDiscovery, Store, configuration, ok, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform import program
@@ -240,7 +240,7 @@
     monkeypatch.setattr(program, "FIRST_LIST_TIMEOUT", 1.0)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0), list_=List(mute=["connect"] * 9)) as stage:
+        async with staged(tmp_path, Store("s0", 0), list_=FakeDiscovery(mute=["connect"] * 9)) as stage:
             await until(lambda: stage.list.asked)
             begun, told, end = asyncio.get_running_loop().time(), [], stage.gateway._answer_remaining
 
@@ -261,7 +261,7 @@
         async with staged(tmp_path, Store("s0", 0)) as stage:
             stage.gateway.stop()
             assert await stage.serving == 0
-            moved = await List().start()
+            moved = await FakeDiscovery().start()
             configuration(tmp_path, moved.address)
             stage.gateway.reload_config()
             assert not stage.gateway.discovery.watches
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from platform_stage import VOLUME, List, Store, ok, request_bytes, run_test, staged, until
+from platform_stage import VOLUME, FakeDiscovery, Store, ok, request_bytes, run_test, staged, until
 
 from tansykeel.platform.clients import Clients
 
@@ -31,7 +31,7 @@
 
 def test_it_is_ready_and_serves_with_only_what_it_knew(tmp_path):
     async def go():
-        async with staged(tmp_path, Store("s0", 0), list_=List(mute=["connect"])) as stage:
+        async with staged(tmp_path, Store("s0", 0), list_=FakeDiscovery(mute=["connect"])) as stage:
             client = await stage.client()
             client.writer.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
             assert (await client.answer()).status == 200
@@ -234,7 +234,7 @@
 def test_what_waits_for_a_connection_is_decided_anew_when_its_store_drains(tmp_path):
     async def go():
         store, other = Store("s0", 0), Store("s1", 0)
-        async with staged(tmp_path, store, list_=List()) as stage:
+        async with staged(tmp_path, store, list_=FakeDiscovery()) as stage:
             await other.start()
             gateway, client = stage.gateway, await stage.client()
             await until(lambda: gateway.core.list_version >= 0)
--- a/tests/platform/test_held_up.py
+++ b/tests/platform/test_held_up.py
@@ -10,7 +10,7 @@
 
 import pytest
 from platform_process import HEALTH, process
-from platform_stage import List, Store, ok, request_bytes, run_test, until
+from platform_stage import FakeDiscovery, Store, ok, request_bytes, run_test, until
 
 from tansykeel.http1 import codec
 
@@ -56,7 +56,7 @@
 async def one_gateway(tmp_path):
     store = NotingStore("s0", 0)
     await store.start()
-    list_ = await List().start()
+    list_ = await FakeDiscovery().start()
     list_.rows = [store.row()]
     async with process(tmp_path, list_.address, [store]) as gateway:
         assert (await gateway.ask(HEALTH)).status == 200
--- a/tests/platform/test_log_output.py
+++ b/tests/platform/test_log_output.py
@@ -12,7 +12,7 @@
 
 import pytest
 from platform_process import HEALTH, Process
-from platform_stage import List, Store, ok, request_bytes, run_test, until
+from platform_stage import FakeDiscovery, Store, ok, request_bytes, run_test, until
 
 ONE_PAGE = 4096  # bytes
 
@@ -59,7 +59,7 @@
     async def go():
         store = Store("s0", 0, lambda request: None if request.target.endswith(b"ff") else ok())
         await store.start()
-        list_ = await List().start()
+        list_ = await FakeDiscovery().start()
         list_.rows = [store.row()]
         async with process_with(tmp_path, kind, list_.address, [store]) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
@@ -80,7 +80,7 @@
 
 def test_a_reader_that_comes_back_finds_whole_lines_and_how_many_are_missing(tmp_path):
     async def go():
-        list_ = await List().start()
+        list_ = await FakeDiscovery().start()
         async with process_with(tmp_path, "stalled", list_.address, []) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
             gateway.unread.read()
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -11,7 +11,7 @@
 
 import pytest
 from platform_process import HEALTH, free_port, process
-from platform_stage import List, Store, ok, request_bytes, run_test, until
+from platform_stage import FakeDiscovery, Store, ok, request_bytes, run_test, until
 
 
 @pytest.mark.parametrize("discovery", ["up", "silent", "refused"])
@@ -20,7 +20,7 @@
     waits for the first list comes to that."""
 
     async def go():
-        list_ = await List(mute=["connect"] * 99 if discovery == "silent" else ()).start()
+        list_ = await FakeDiscovery(mute=["connect"] * 99 if discovery == "silent" else ()).start()
         address = f"127.0.0.1:{free_port()}" if discovery == "refused" else list_.address
         async with process(tmp_path, address) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
@@ -36,7 +36,7 @@
     some say nothing, some have asked and rest, some sent half a request. Then all returns."""
 
     async def go():
-        port, store, list_ = free_port(), Store("s0", 0), List()
+        port, store, list_ = free_port(), Store("s0", 0), FakeDiscovery()
         await store.start()
         async with process(tmp_path, f"127.0.0.1:{port}", [store], sockets) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("moment", ["before the list", "ready", "twice"])
 def test_sigterm_ends_it_in_time_and_in_order(tmp_path, moment):
     async def go():
-        list_ = await List(mute=["connect"] * 99 if moment == "before the list" else ()).start()
+        list_ = await FakeDiscovery(mute=["connect"] * 99 if moment == "before the list" else ()).start()
         async with process(tmp_path, list_.address) as gateway:
             await until(lambda: list_.asked)
             if moment != "before the list":
@@ -94,7 +94,7 @@
     async def go():
         store = Store("s0", 0, lambda request: ok(b"x" * 60_000))
         await store.start()
-        list_ = await List().start()
+        list_ = await FakeDiscovery().start()
         list_.rows = [store.row()]
         async with process(tmp_path, list_.address, [store], 256) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
--- a/tests/platform/test_slow_discovery.py
+++ b/tests/platform/test_slow_discovery.py
@@ -5,10 +5,10 @@
 import asyncio
 
 import pytest
-from platform_stage import List, Store, run_test, staged, until
+from platform_stage import FakeDiscovery, Store, run_test, staged, until
 
 
-class SlowList(List):
+class SlowList(FakeDiscovery):
     """Says nothing on a connection for some seconds after its request came, then serves it."""
 
     def __init__(self, seconds):
--- a/tests/platform/test_start_signals.py
+++ b/tests/platform/test_start_signals.py
@@ -13,7 +13,7 @@
 
 import pytest
 from platform_process import HEALTH, Process, process
-from platform_stage import List, run_test, until
+from platform_stage import FakeDiscovery, run_test, until
 
 ROOT = Path(__file__).parents[2]
 MOMENTS = [0.0, 0.05, 0.1, 0.2, 0.3]  # seconds after the program has begun
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("moment", MOMENTS)
 def test_a_new_configuration_during_the_start_is_taken_and_ends_nothing(tmp_path, moment):
     async def go():
-        first, second = await List().start(), await List().start()
+        first, second = await FakeDiscovery().start(), await FakeDiscovery().start()
         async with process(tmp_path, first.address) as gateway:
             await until_program_has_begun(gateway)
             await asyncio.sleep(moment)
@@ -58,7 +58,7 @@
     """The listener is open early: whoever connected meanwhile is owed an answer."""
 
     async def go():
-        list_ = await List().start()
+        list_ = await FakeDiscovery().start()
         async with process(tmp_path, list_.address) as gateway:
             await until_program_has_begun(gateway)
             await asyncio.sleep(moment)
@@ -80,7 +80,7 @@
     monkeypatch.setattr(subprocess, "Popen", lambda command, **named: start(["/bin/sh", "-c", run], **named))
 
     async def go():
-        first, second = await List().start(), await List().start()
+        first, second = await FakeDiscovery().start(), await FakeDiscovery().start()
         gateway = Process(tmp_path, first.address, [], 128)
         try:
             await until(lambda: has_sighup(gateway, "SigIgn") or has_sighup(gateway, "SigCgt"), 10.0)
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -92,7 +92,7 @@
         } | changes
 
 
-class List(FakeServer):
+class FakeDiscovery(FakeServer):
     """Discovery; `tell` sends an object to whoever watches. `mute` says, for one watch after another, where each falls
     silent: "connect", "head", "object" (in the middle of one), "empty" (after an empty line). `drip(text)` says more to
     those. "end" ends one at once."""
@@ -223,7 +223,7 @@
 @asynccontextmanager
 async def staged(tmp_path, *stores, list_=None, known=True, **changes):
     """`known`: whether the configuration knows the stores, or a dict of how they were otherwise then."""
-    list_ = await (list_ or List()).start()
+    list_ = await (list_ or FakeDiscovery()).start()
     for store in stores:
         await store.start()
         if known:
