--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from platform_stage import SETTINGS, Store, run_test, staged, until
+from platform_stage import SETTINGS, FakeStore, run_test, staged, until
 
 WARM_AFTER = 17.0  # seconds
 COLD = SETTINGS | {
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("age", [0.2, 2.0])
 def test_a_start_told_after_a_step_counts_by_real_time(tmp_path, monkeypatch, step, age):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store, settings=COLD) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             real = step_wall_clock(monkeypatch, step)
@@ -49,7 +49,7 @@
     """A forward step made the second start look older than the first, so that it was not taken in."""
 
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         store.since = (time.time() - 10) * 1000
         async with staged(tmp_path, store, settings=COLD) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
@@ -68,7 +68,7 @@
     """The list was known to be without that start a moment ago, so it can't be an hour old."""
 
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         real = step_wall_clock(monkeypatch, 3600.0)
         async with staged(tmp_path, store, settings=COLD) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
--- a/tests/platform/test_config.py
+++ b/tests/platform/test_config.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from platform_stage import FakeDiscovery, Store, configuration, run_test, staged, until
+from platform_stage import FakeDiscovery, FakeStore, configuration, run_test, staged, until
 
 from tansykeel.platform.config import Illegal, Unreadable, read, read_at_start
 
@@ -69,7 +69,7 @@
 
     async def go():
         other = await FakeDiscovery().start()
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             configuration(tmp_path, other.address)
             failed = fail_to_read(monkeypatch, failure, 2)
@@ -84,7 +84,7 @@
 def test_of_signals_in_series_the_last_file_counts(tmp_path, monkeypatch):
     async def go():
         second, third = await FakeDiscovery().start(), await FakeDiscovery().start()
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             configuration(tmp_path, second.address)
             fail_to_read(monkeypatch, errno.EIO, 1)
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -6,7 +6,7 @@
 import json
 
 import pytest
-from platform_stage import FakeDiscovery, Store, configuration, no_descriptors, run_test, staged, until
+from platform_stage import FakeDiscovery, FakeStore, configuration, no_descriptors, run_test, staged, until
 
 from tansykeel.platform import discovery as discovery_module
 from tansykeel.platform.discovery import Watch
@@ -15,7 +15,7 @@
 
 def test_the_list_is_followed_in_pieces_and_older_versions_are_not_believed(tmp_path):
     async def go():
-        store, other = Store("s0", 0), Store("s1", 0)
+        store, other = FakeStore("s0", 0), FakeStore("s1", 0)
         async with staged(tmp_path, store) as stage:
             await other.start()
             await until(lambda: stage.gateway.core.list_version == 5)
@@ -36,7 +36,7 @@
 
 def test_on_sighup_discovery_moves_and_the_old_watch_is_let_go_once_the_new_one_speaks(tmp_path):
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             gateway = stage.gateway
             await until(lambda: gateway.core.list_version == 5)
             gateway.path = str(tmp_path / "missing.json")
@@ -98,7 +98,7 @@
     """Guards against a watch that ends at the first line end within an object and begins again for ever."""
 
     async def go():
-        store, other = Store("s0", 0), Store("s1", 0)
+        store, other = FakeStore("s0", 0), FakeStore("s1", 0)
         async with staged(tmp_path, store, known=False, list_=FakeDiscovery(indent=indent)) as stage:
             await other.start()
             await until(lambda: stage.gateway.core.list_version == 5)
@@ -122,7 +122,7 @@
 
     async def go():
         list_ = FakeDiscovery(mute=[mute, *further])
-        async with staged(tmp_path, Store("s0", 0), list_=list_) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0), list_=list_) as stage:
             discovery, core = stage.gateway.discovery, stage.gateway.core
             clock = [discovery.now()]
             discovery.now = lambda: clock[0]
@@ -149,7 +149,7 @@
     """Guards against news that the agent holds while no watch is open: it counts as told."""
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             for turn in range(4):
                 stage.list.revision += 1
@@ -161,7 +161,7 @@
 
 def test_nothing_is_sent_on_the_word_of_known_once_the_agent_can_be_heard(tmp_path):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         store.phase = "Terminating"
         async with staged(tmp_path, store, known={"phase": "Ready"}) as stage:
             assert (await (await stage.client()).ask(1, x_remaining="0.4")).status == 503 and not store.got
@@ -182,7 +182,7 @@
 
     async def go():
         list_ = FakeDiscovery(mute=[mute])
-        async with staged(tmp_path, Store("s0", 0), list_=list_) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0), list_=list_) as stage:
             discovery, core = stage.gateway.discovery, stage.gateway.core
             clock = [discovery.now()]
             discovery.now = lambda: clock[0]
@@ -213,7 +213,7 @@
     """Guards against a gateway that goes on with what the old discovery tells, for good."""
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             discovery = stage.gateway.discovery
             await until(lambda: stage.gateway.core.list_version == 5)
             old = discovery.watches[0]
@@ -244,7 +244,7 @@
             return super().text(rows, full and (whole or self.asked != []))
 
     async def go():
-        stores = [Store("s0", 0), Store("s1", 1), Store("s2", 2)]
+        stores = [FakeStore("s0", 0), FakeStore("s1", 1), FakeStore("s2", 2)]
         async with staged(tmp_path, *stores) as stage:
             core = stage.gateway.core
             await until(lambda: core.list_version == 5)
@@ -272,7 +272,7 @@
 
 def test_sighup_while_a_watch_connects_and_twice(tmp_path):
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             discovery = stage.gateway.discovery
             await until(lambda: stage.gateway.core.list_version == 5)
             between, last = await FakeDiscovery(mute=["connect"] * 9).start(), await FakeDiscovery().start()
@@ -293,7 +293,7 @@
 
 def test_no_descriptor_for_a_watch_makes_room_and_is_tried_again(tmp_path, monkeypatch):
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             idle = await stage.client()
             assert (await idle.ask(1)).status == 200
--- a/tests/platform/test_ending.py
+++ b/tests/platform/test_ending.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 
 import pytest
-from platform_stage import FakeDiscovery, Store, configuration, ok, request_bytes, run_test, staged, until
+from platform_stage import FakeDiscovery, FakeStore, configuration, ok, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform import program
@@ -31,7 +31,7 @@
 
 def test_sigterm_serves_on_for_a_while_then_closes_what_idles_and_answers_what_it_holds(tmp_path):
     async def go():
-        store = Store("s0", 0, lambda request: None if request.fields[b"x-txn"] == b"%016x" % 1 else ok())
+        store = FakeStore("s0", 0, lambda request: None if request.fields[b"x-txn"] == b"%016x" % 1 else ok())
         async with staged(tmp_path, store) as stage:
             held, kept = await stage.client(), await stage.client()
             assert (await kept.ask(2)).lasts
@@ -52,7 +52,7 @@
 
 def test_a_client_that_never_rests_has_every_answer_and_is_closed_between_requests(tmp_path):
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             clients = [await stage.client() for _ in range(3)]
             asked, answers = [0], []
 
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize("goes_on", [True, False])
 def test_who_began_to_ask_is_served_or_refused_and_not_cut_off(tmp_path, goes_on):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             client.writer.write(request_bytes(1)[:1])
@@ -101,7 +101,7 @@
     answers are last ones is served, who comes in the moment in which the listener closes is refused and not sent on."""
 
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
             late, accept, close = socket.socket(), program.accept_waiting, program.Gateway._close_between_requests
 
@@ -172,7 +172,7 @@
     """The request comes after the look at the connection and before its end, and the last answer is not read yet."""
 
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
             client, quiet = socket.create_connection(("127.0.0.1", stage.port)), Stream.quiet
             client.send(request_bytes(1))
@@ -205,7 +205,7 @@
     monkeypatch.setattr("tansykeel.platform.clients.LINGER", 5.0)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0, lambda request: ok(b"x" * 300_000))) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0, lambda request: ok(b"x" * 300_000))) as stage:
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect(("127.0.0.1", stage.port))
@@ -240,7 +240,7 @@
     monkeypatch.setattr(program, "FIRST_LIST_TIMEOUT", 1.0)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0), list_=FakeDiscovery(mute=["connect"] * 9)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0), list_=FakeDiscovery(mute=["connect"] * 9)) as stage:
             await until(lambda: stage.list.asked)
             begun, told, end = asyncio.get_running_loop().time(), [], stage.gateway._answer_remaining
 
@@ -258,7 +258,7 @@
 
 def test_a_configuration_that_comes_after_the_end_opens_no_watch(tmp_path):
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             stage.gateway.stop()
             assert await stage.serving == 0
             moved = await FakeDiscovery().start()
@@ -281,7 +281,7 @@
         monkeypatch.setattr(program, name, seconds)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             stage.gateway.stop()
             await until(lambda: stage.gateway.closing)
             await asyncio.sleep(0.1)
--- a/tests/platform/test_epoll_failures.py
+++ b/tests/platform/test_epoll_failures.py
@@ -23,7 +23,7 @@
 
 import pytest
 from platform_process import free_port
-from platform_stage import FakeDiscovery, Store, configuration, request_bytes, run_test, staged, until
+from platform_stage import FakeDiscovery, FakeStore, configuration, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.transport.epoll_selector import RetryingEpollSelector
@@ -89,7 +89,7 @@
 
 def test_a_descriptor_that_the_kernel_does_not_watch_costs_nobody_else_an_answer(tmp_path):
     async def go():
-        store, list_ = await Store("s0", 0).start(), await FakeDiscovery().start()
+        store, list_ = await FakeStore("s0", 0).start(), await FakeDiscovery().start()
         list_.rows.append(store.row())
         port = free_port()
         limits = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
@@ -207,7 +207,7 @@
     epoll = FailingEpoll(failure, every=3)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             for turn in range(5):
                 clients = [await stage.client() for _ in range(8)]
--- a/tests/platform/test_event_counts.py
+++ b/tests/platform/test_event_counts.py
@@ -4,14 +4,14 @@
 
 import asyncio
 
-from platform_stage import Store, ok, run_test, staged, until
+from platform_stage import FakeStore, ok, run_test, staged, until
 
 
 def test_ends_retries_and_rejections_are_counted_by_reason(tmp_path):
     answers = iter([b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", ok(), None])
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0, lambda request: next(answers))) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0, lambda request: next(answers))) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             client, silent = await stage.client(), await stage.client()
             assert (await client.ask(1)).status == 200
@@ -33,7 +33,7 @@
     lines = []
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             stage.gateway.counts.log = lambda event, **fields: lines.append((event, fields))
             client = await stage.client()
--- a/tests/platform/test_final_answers.py
+++ b/tests/platform/test_final_answers.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from platform_stage import Store, request_bytes, run_test, staged, until
+from platform_stage import FakeStore, request_bytes, run_test, staged, until
 
 from tansykeel.brain import Scheduler
 
@@ -19,7 +19,7 @@
         raise ArithmeticError("planted")
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             monkeypatch.setattr(Scheduler, "serve", fail_after_first_decision)
             client = await stage.client()
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("part, check", [("clients", "check_timeouts"), ("stores", "look"), ("discovery", "look")])
 def test_a_check_that_fails_is_run_again_and_the_others_go_on(tmp_path, monkeypatch, part, check):
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             checked, calls = getattr(stage.gateway, part), []
 
@@ -56,7 +56,7 @@
     """Two pools wait to open a connection. The first one's client disconnects before a connection is closed."""
 
     async def go():
-        held, waiting, unused = Store("s0", 0, lambda request: None), Store("s1", 1), Store("s2", 2)
+        held, waiting, unused = FakeStore("s0", 0, lambda request: None), FakeStore("s1", 1), FakeStore("s2", 2)
         async with staged(tmp_path, held, waiting, unused) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             stage.gateway.stores.most = 1
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -5,14 +5,14 @@
 import asyncio
 
 import pytest
-from platform_stage import VOLUME, FakeDiscovery, Store, ok, request_bytes, run_test, staged, until
+from platform_stage import VOLUME, FakeDiscovery, FakeStore, ok, request_bytes, run_test, staged, until
 
 from tansykeel.platform.clients import Clients
 
 
 def test_a_task_goes_all_the_way_unchanged(tmp_path):
     async def go():
-        store = Store("s0", 0, lambda request: ok(request.body[::-1] or b"read", b"X-Meter: 40\r\nX-Delta: 3\r\n"))
+        store = FakeStore("s0", 0, lambda request: ok(request.body[::-1] or b"read", b"X-Meter: 40\r\nX-Delta: 3\r\n"))
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             assert (await client.ask(1)).body == b"read"
@@ -31,7 +31,7 @@
 
 def test_it_is_ready_and_serves_with_only_what_it_knew(tmp_path):
     async def go():
-        async with staged(tmp_path, Store("s0", 0), list_=FakeDiscovery(mute=["connect"])) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0), list_=FakeDiscovery(mute=["connect"])) as stage:
             client = await stage.client()
             client.writer.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
             assert (await client.answer()).status == 200
@@ -66,7 +66,7 @@
 )
 def test_what_can_t_be_a_task_gets_an_error_and_no_store_hears_of_it(tmp_path, changes, status):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             assert (await client.ask(1, **changes)).status == status
@@ -77,7 +77,7 @@
 
 def test_an_error_reaches_a_client_that_is_still_sending(tmp_path):
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             client = await stage.client()
             client.writer.write(request_bytes(1, content_length="60000000") + b"x" * (8 << 20))
             assert (await client.answer()).status == 413
@@ -88,7 +88,7 @@
 
 def test_the_id_of_an_open_request_is_refused_and_the_first_lives_on(tmp_path):
     async def go():
-        store = Store("s0", 0, lambda request: None)
+        store = FakeStore("s0", 0, lambda request: None)
         async with staged(tmp_path, store) as stage:
             first, second = await stage.client(), await stage.client()
             first.writer.write(request_bytes(7))
@@ -114,7 +114,7 @@
 )
 def test_a_spoilt_answer_is_a_failed_hand_off_and_a_good_one_counts(tmp_path, first, hand_offs):
     async def go():
-        store = Store("s0", 0, lambda request: first if len(store.got) == 1 else ok())
+        store = FakeStore("s0", 0, lambda request: first if len(store.got) == 1 else ok())
         async with staged(tmp_path, store) as stage:
             answer = await (await stage.client()).ask(1)
             assert (answer.status, answer.body, len(store.got)) == (200, b"data", hand_offs)
@@ -125,7 +125,7 @@
 
 def test_a_large_answer_is_passed_on_whole_while_there_is_memory_for_it(tmp_path):
     async def go():
-        store = Store("s0", 0, lambda request: ok(b"x" * 400_000))
+        store = FakeStore("s0", 0, lambda request: ok(b"x" * 400_000))
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             assert (await client.ask(1)).body == b"x" * 400_000
@@ -141,7 +141,7 @@
     monkeypatch.setattr("tansykeel.platform.connection.STALE_WITHIN", 5.0)
 
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
             stores, client = stage.gateway.stores, await stage.client()
             assert (await client.ask(1)).status == 200 and stores.trusted == 12.0
@@ -161,7 +161,7 @@
 @pytest.mark.parametrize("fails, ends", [(1, {"delivered": 1}), (2, {"delivered": 1, "no connection": 1})])
 def test_a_second_connection_is_tried_before_a_hand_off_counts_as_not_connected(tmp_path, fails, ends):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
             gateway, client = stage.gateway, await stage.client()
             await until(lambda: gateway.core.list_version >= 0)
@@ -188,7 +188,7 @@
     """Guards against a second copy read as the answer to the next request."""
 
     async def go():
-        store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]) + (behind if at_once else b""))
+        store = FakeStore("s0", 0, lambda request: ok(request.fields[b"x-txn"]) + (behind if at_once else b""))
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             for id in range(1, 4):
@@ -204,7 +204,7 @@
 
 def test_a_client_that_leaves_ends_its_hand_off(tmp_path):
     async def go():
-        store = Store("s0", 0, lambda request: None)
+        store = FakeStore("s0", 0, lambda request: None)
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             client.writer.write(request_bytes(1))
@@ -219,7 +219,7 @@
 
 def test_a_store_that_refuses_connections_never_ran_anything(tmp_path):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
             await store.stop()
             store.server.close()
@@ -233,7 +233,7 @@
 
 def test_what_waits_for_a_connection_is_decided_anew_when_its_store_drains(tmp_path):
     async def go():
-        store, other = Store("s0", 0), Store("s1", 0)
+        store, other = FakeStore("s0", 0), FakeStore("s1", 0)
         async with staged(tmp_path, store, list_=FakeDiscovery()) as stage:
             await other.start()
             gateway, client = stage.gateway, await stage.client()
@@ -251,7 +251,7 @@
 
 def test_connections_that_say_nothing_make_room_for_those_that_ask(tmp_path):
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             clients: Clients = stage.gateway.clients
             clients.max_connections = 6
             usual = await stage.client()
@@ -269,7 +269,7 @@
     monkeypatch.setattr("tansykeel.platform.clients.CROWDED_IDLE_TIMEOUT", 0.05)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             clients: Clients = stage.gateway.clients
             first = await stage.client()
             assert (await first.ask(1)).status == 200
@@ -290,7 +290,7 @@
     monkeypatch.setattr("tansykeel.platform.clients.REQUEST_TIMEOUT", 0.1)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             silent, half = await stage.client(), await stage.client()
             half.writer.write(request_bytes(1, body=b"abc")[:-1])
             assert (await silent.answer()).status == 408 and (await half.answer()).status == 408
@@ -301,7 +301,7 @@
 
 def test_a_client_that_says_close_is_answered_and_closed(tmp_path):
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             client = await stage.client()
             answer = await client.ask(1, connection="close")
             assert answer.status == 200 and not answer.lasts and await client.ended()
@@ -311,7 +311,7 @@
 
 def test_large_bodies_that_never_end_are_turned_away_once_they_fill_the_memory(tmp_path):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
             stage.gateway.clients.max_unread_bytes = 100_000
             first, second = await stage.client(), await stage.client()
@@ -330,7 +330,7 @@
     """Guards against a hand-off left behind in a pool that may open no second connection."""
 
     async def go():
-        store = Store("s0", 0, lambda request: ok())
+        store = FakeStore("s0", 0, lambda request: ok())
         async with staged(tmp_path, store) as stage:
             stage.gateway.stores.most = 1
             store.reply = lambda request: b"" if len(store.got) == 1 else ok()
@@ -343,7 +343,7 @@
 
 def test_requests_sent_ahead_are_answered_in_order(tmp_path):
     async def go():
-        store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
+        store = FakeStore("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             client.writer.write(b"".join(request_bytes(id) for id in range(1, 30)))
@@ -361,7 +361,7 @@
             gateway = stage.gateway
             await until(lambda: gateway.core.list_version >= 0)
             for turn in range(12):
-                store = await Store(f"s{turn}", 0).start()
+                store = await FakeStore(f"s{turn}", 0).start()
                 stage.list.tell([store.row()], full=True)
                 await until(lambda name=store.name: name in gateway.core.stores)
                 for id in range(4):
@@ -380,7 +380,7 @@
 
 def test_a_failure_in_one_connection_ends_only_that_one(tmp_path):
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             gateway, (first, second) = stage.gateway, (await stage.client(), await stage.client())
             parse_task, gateway.request_parser.parse_task = gateway.request_parser.parse_task, None
             first.writer.write(request_bytes(1))
--- a/tests/platform/test_held_up.py
+++ b/tests/platform/test_held_up.py
@@ -10,7 +10,7 @@
 
 import pytest
 from platform_process import HEALTH, process
-from platform_stage import FakeDiscovery, Store, ok, request_bytes, run_test, until
+from platform_stage import FakeDiscovery, FakeStore, ok, request_bytes, run_test, until
 
 from tansykeel.http1 import codec
 
@@ -18,7 +18,7 @@
 STOP = 1.2  # seconds for which the gateway stands still
 
 
-class NotingStore(Store):
+class NotingStore(FakeStore):
     """Notes when each request came, and what time it was told."""
 
     def __init__(self, name, shard):
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 
 import pytest
-from platform_stage import SETTINGS, Store, ok, request_bytes, run_test, staged, until
+from platform_stage import SETTINGS, FakeStore, ok, request_bytes, run_test, staged, until
 
 from tansykeel.platform import pool as pool_module
 
@@ -42,7 +42,7 @@
 @ways
 def test_nothing_begins_for_who_left_while_its_hand_off_waits_for_a_connection(tmp_path, settings, way):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store, settings=settings) as stage:
             stores, client = stage.gateway.stores, connected(stage)
             await until(lambda: stage.gateway.core.list_version == 5)
@@ -69,7 +69,7 @@
     """Guards against reading that stops while a request is open: the end stands behind what was sent ahead."""
 
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store, settings=settings) as stage:
             stores, client = stage.gateway.stores, connected(stage)
             await until(lambda: stage.gateway.core.list_version == 5)
@@ -97,7 +97,7 @@
     """The client leaves within the call that hands off, as while the loop is busy."""
 
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store, settings=settings) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             if rested:
@@ -128,7 +128,7 @@
 
     async def go():
         failure = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
-        store = Store("s0", 0, lambda request: failure if request.fields[b"x-txn"][-1:] == b"1" else ok())
+        store = FakeStore("s0", 0, lambda request: failure if request.fields[b"x-txn"][-1:] == b"1" else ok())
         async with staged(tmp_path, store, settings=settings) as stage:
             client, answered = connected(stage), stage.gateway.stores.answered
 
@@ -151,7 +151,7 @@
     """Twenty wait at a store that answers one of them; all leave in the turn of the loop in which it does."""
 
     async def go():
-        store = Store("s0", 0, lambda request: None)
+        store = FakeStore("s0", 0, lambda request: None)
         async with staged(tmp_path, store, settings=settings) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             clients = [connected(stage) for _ in range(20)]
@@ -178,7 +178,7 @@
 
 def test_a_flood_behind_an_open_request_is_told_an_error_and_its_task_given_up(tmp_path):
     async def go():
-        store = Store("s0", 0, lambda request: None)
+        store = FakeStore("s0", 0, lambda request: None)
         async with staged(tmp_path, store) as stage:
             flood, other = await stage.client(), await stage.client()
             flood.writer.write(request_bytes(1))
--- a/tests/platform/test_log_output.py
+++ b/tests/platform/test_log_output.py
@@ -12,7 +12,7 @@
 
 import pytest
 from platform_process import HEALTH, Process
-from platform_stage import FakeDiscovery, Store, ok, request_bytes, run_test, until
+from platform_stage import FakeDiscovery, FakeStore, ok, request_bytes, run_test, until
 
 ONE_PAGE = 4096  # bytes
 
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("kind", ["gone", "stalled", "closed"])
 def test_requests_held_at_the_end_are_answered_though_nobody_reads_the_log(tmp_path, kind):
     async def go():
-        store = Store("s0", 0, lambda request: None if request.target.endswith(b"ff") else ok())
+        store = FakeStore("s0", 0, lambda request: None if request.target.endswith(b"ff") else ok())
         await store.start()
         list_ = await FakeDiscovery().start()
         list_.rows = [store.row()]
--- a/tests/platform/test_partly_written.py
+++ b/tests/platform/test_partly_written.py
@@ -7,14 +7,14 @@
 import time
 
 import pytest
-from platform_stage import SETTINGS, Store, request_bytes, run_test, staged, until
+from platform_stage import SETTINGS, FakeStore, request_bytes, run_test, staged, until
 
 SLACK = 0.15  # seconds by which the time told to a store may be over what the client has left
 NO_CANCEL = SETTINGS | {"Limits": SETTINGS["Limits"] | {"Cancel": False}}
 BODY = b"x" * 60_000
 
 
-class SlowReadingStore(Store):
+class SlowReadingStore(FakeStore):
     """Reads nothing of a request for some seconds; notes when each was whole and what time it was told."""
 
     def __init__(self, name, shard, seconds):
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -11,7 +11,7 @@
 
 import pytest
 from platform_process import HEALTH, free_port, process
-from platform_stage import FakeDiscovery, Store, ok, request_bytes, run_test, until
+from platform_stage import FakeDiscovery, FakeStore, ok, request_bytes, run_test, until
 
 
 @pytest.mark.parametrize("discovery", ["up", "silent", "refused"])
@@ -36,7 +36,7 @@
     some say nothing, some have asked and rest, some sent half a request. Then all returns."""
 
     async def go():
-        port, store, list_ = free_port(), Store("s0", 0), FakeDiscovery()
+        port, store, list_ = free_port(), FakeStore("s0", 0), FakeDiscovery()
         await store.start()
         async with process(tmp_path, f"127.0.0.1:{port}", [store], sockets) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
@@ -92,7 +92,7 @@
     """Silence, a byte at a time, a body never ended, errors never read, answers taken at a trickle; all at once."""
 
     async def go():
-        store = Store("s0", 0, lambda request: ok(b"x" * 60_000))
+        store = FakeStore("s0", 0, lambda request: ok(b"x" * 60_000))
         await store.start()
         list_ = await FakeDiscovery().start()
         list_.rows = [store.row()]
--- a/tests/platform/test_second_answers.py
+++ b/tests/platform/test_second_answers.py
@@ -7,7 +7,7 @@
 import random
 
 import pytest
-from platform_stage import SETTINGS, Store, ok, request_bytes, run_test, staged, until
+from platform_stage import SETTINGS, FakeStore, ok, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform import pool as pool_module
@@ -33,7 +33,7 @@
     return next(found, None)
 
 
-class SlowStore(Store):
+class SlowStore(FakeStore):
     """Answers by hand: `answer(id)` to a request that came, on its own connection."""
 
     def __init__(self):
@@ -109,7 +109,7 @@
     """A second answer that came 40 ms late: another may come as late, so the next request waits for no less."""
 
     async def go():
-        store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
+        store = FakeStore("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
             client, stores, check = await stage.client(), stage.gateway.stores, without_checks(stage)
             assert (await client.ask(1)).body == b"%016x" % 1
@@ -139,7 +139,7 @@
 
 def test_the_cool_down_has_a_bound_and_belongs_to_one_store(tmp_path):
     async def go():
-        stores = [Store(f"s{number}", number, lambda request: ok(request.fields[b"x-txn"])) for number in (0, 1)]
+        stores = [FakeStore(f"s{number}", number, lambda request: ok(request.fields[b"x-txn"])) for number in (0, 1)]
         async with staged(tmp_path, *stores) as stage:
             client = await stage.client()
             without_checks(stage)
@@ -160,7 +160,7 @@
     """Nothing was asked on it: what comes says nothing of how late this store's second answers are."""
 
     async def go():
-        store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
+        store = FakeStore("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             without_checks(stage)
@@ -175,7 +175,7 @@
     run_test(go())
 
 
-class TwiceStore(Store):
+class TwiceStore(FakeStore):
     """Answers each request with its id, in ways drawn by a seed, and again wherever the gateway can tell: with the
     answer, in part, while the connection cools down or idles, and after an answer that was given up.
 
--- a/tests/platform/test_sent_ahead.py
+++ b/tests/platform/test_sent_ahead.py
@@ -6,14 +6,14 @@
 import time
 
 import pytest
-from platform_stage import Store, ok, request_bytes, run_test, staged, until
+from platform_stage import FakeStore, ok, request_bytes, run_test, staged, until
 
 from tansykeel.platform import program
 
 SLACK = 0.15  # seconds by which the time told to a store may be over what the client has left
 
 
-class SlowStore(Store):
+class SlowStore(FakeStore):
     """Answers after a while; notes when each request came and what time it was told."""
 
     def __init__(self, name, shard, seconds):
@@ -96,7 +96,7 @@
     answer_grace = 0.5  # seconds after its time in which an answer is only worth nothing
 
     async def go():
-        store = Store("s0", 0, lambda request: None)
+        store = FakeStore("s0", 0, lambda request: None)
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             sent = time.monotonic()
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from platform_stage import Store, ok, request_bytes, run_test, staged, until
+from platform_stage import FakeStore, ok, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform.clients import Clients
@@ -19,7 +19,7 @@
     monkeypatch.setattr("tansykeel.platform.clients.LINGER", 0.0)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0, lambda request: ok(b"x" * 1_000_000))) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0, lambda request: ok(b"x" * 1_000_000))) as stage:
             clients: Clients = stage.gateway.clients
             slow = await stage.client(receive=4096)
             await until(lambda: clients.conns)
@@ -54,7 +54,7 @@
     """
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0, lambda request: ok(b"x" * 1_000_000))) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0, lambda request: ok(b"x" * 1_000_000))) as stage:
             clients: Clients = stage.gateway.clients
             slow = await stage.connected_socket(receive=4096)
             await until(lambda: clients.conns)
--- a/tests/platform/test_slow_discovery.py
+++ b/tests/platform/test_slow_discovery.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from platform_stage import FakeDiscovery, Store, run_test, staged, until
+from platform_stage import FakeDiscovery, FakeStore, run_test, staged, until
 
 
 class SlowList(FakeDiscovery):
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("seconds", [4.5, 6.0])
 def test_a_watch_that_takes_longer_than_others_are_opened_beside_it_is_not_given_up(tmp_path, seconds):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store, list_=SlowList(seconds), known=False) as stage:
             await until(lambda: stage.gateway.core.list_version == 5, seconds + 2.0)
             assert len(stage.gateway.discovery.watches) <= 4
--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from platform_stage import SETTINGS, Store, no_descriptors, ok, request_bytes, run_test, staged, until
+from platform_stage import SETTINGS, FakeStore, no_descriptors, ok, request_bytes, run_test, staged, until
 
 from tansykeel.platform import connection as connection_module
 from tansykeel.platform import pool as pool_module
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("size", [0, 4, 200_000])
 def test_an_answer_without_a_length_is_whole_at_the_orderly_end(tmp_path, size):
     async def go():
-        store = Store("s0", 0, lambda request: NO_LENGTH + b"x" * size)
+        store = FakeStore("s0", 0, lambda request: NO_LENGTH + b"x" * size)
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             for id in (1, 2):
@@ -59,7 +59,7 @@
     """What was asked may have run: it goes again only where that is allowed."""
 
     async def go():
-        store = Store("s0", 0, lambda request: head + b"bod" if len(store.got) == 1 else ok())
+        store = FakeStore("s0", 0, lambda request: head + b"bod" if len(store.got) == 1 else ok())
         async with staged(tmp_path, store, settings=settings) as stage:
             client = await stage.client()
             client.writer.write(request_bytes(1))
@@ -80,7 +80,7 @@
 
 def test_an_answer_without_a_length_that_never_ends_is_let_go_at_the_bound(tmp_path):
     async def go():
-        store = Store("s0", 0, lambda request: NO_LENGTH + b"x" * (2 << 20))
+        store = FakeStore("s0", 0, lambda request: NO_LENGTH + b"x" * (2 << 20))
         async with staged(tmp_path, store) as stage:
             assert (await (await stage.client()).ask(1)).status == 503
             assert stage.gateway.core.counts.outcomes == {"error": 3} and stage.gateway.stores.held_bytes() == 0
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("cancel", [True, False])
 def test_an_answer_without_a_length_that_ends_after_the_time_is_nobodys(tmp_path, cancel):
     async def go():
-        store = Store("s0", 0, lambda request: NO_LENGTH + b"late")
+        store = FakeStore("s0", 0, lambda request: NO_LENGTH + b"late")
         settings = SETTINGS | {"Limits": SETTINGS["Limits"] | {"Cancel": cancel}}
         async with staged(tmp_path, store, settings=settings) as stage:
             client = await stage.client()
@@ -108,7 +108,7 @@
     """Guards against connections held for good where attempts may not be cancelled."""
 
     async def go():
-        store = Store("s0", 0, lambda request: NO_LENGTH + b"x")
+        store = FakeStore("s0", 0, lambda request: NO_LENGTH + b"x")
         settings = SETTINGS | {"Limits": SETTINGS["Limits"] | {"Cancel": False}}
         async with staged(tmp_path, store, settings=settings) as stage:
             assert (await (await stage.client()).ask(1, x_remaining="0.3")).status in (500, 503)
@@ -131,7 +131,7 @@
     no other connection may be opened."""
 
     async def go():
-        store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
+        store = FakeStore("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
             client, stores = await stage.client(), stage.gateway.stores
             if crowded:
@@ -158,7 +158,7 @@
     monkeypatch.setattr(pool_module, "COOL_DOWN", 0.2)
 
     async def go():
-        store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
+        store = FakeStore("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
             stage.gateway.stores.most = 1
             client = await stage.client()
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_reset_before_the_last_byte_never_ran_and_one_after_it_may_have(tmp_path, monkeypatch, settings, whole):
     async def go():
-        store = Store("s0", 0, lambda request: None)
+        store = FakeStore("s0", 0, lambda request: None)
         async with staged(tmp_path, store, settings=settings) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             client, write, held = await stage.client(), Stream.write, []
@@ -208,7 +208,7 @@
     tmp_path, monkeypatch, leaves
 ):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             late, connected = [], Stream._connected
@@ -244,7 +244,7 @@
     """All three in one turn of the loop, the time first: one outcome, nothing sent twice, and the gateway goes on."""
 
     async def go():
-        store = Store("s0", 0, lambda request: None)
+        store = FakeStore("s0", 0, lambda request: None)
         async with staged(tmp_path, store, settings=ONCE) as stage:
             client, core = await stage.client(), stage.gateway.core
             client.writer.write(request_bytes(1))
@@ -265,7 +265,7 @@
 
 def test_no_descriptor_for_a_first_attempt_makes_room_and_says_nothing_of_the_store(tmp_path, monkeypatch):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
             monkeypatch.setattr("tansykeel.platform.clients.EVICTION_GRACE", 0.0)
             await stage.client()
--- a/tests/platform/test_system_calls.py
+++ b/tests/platform/test_system_calls.py
@@ -8,7 +8,7 @@
 import socket
 
 import pytest
-from platform_stage import Store, request_bytes, run_test, staged, until
+from platform_stage import FakeStore, request_bytes, run_test, staged, until
 
 from tansykeel.platform import periodic_checks
 from tansykeel.transport import sockets
@@ -79,7 +79,7 @@
         return await client.ask(id)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             if stopping:
                 stage.gateway.stop()
@@ -149,7 +149,7 @@
     change_accepted(monkeypatch, change)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             clients = [await stage.client() for _ in range(20)]
             for turn in range(3):
@@ -168,7 +168,7 @@
         return with_options_that_fail(socket.socket(), failure, 1)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             monkeypatch.setattr("tansykeel.platform.connection.open_socket", open_failing)
             clients = [await stage.client() for _ in range(6)]
@@ -236,7 +236,7 @@
     change_accepted(monkeypatch, lambda sock, number: CloseFails(fileno=sock.detach()))
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             clients = [await stage.client() for _ in range(6)]
             answers = await asyncio.gather(*(client.ask(n) for n, client in enumerate(clients, 1)))
@@ -260,7 +260,7 @@
     """EMFILE is ours to mend by closing what idles, never whoever is new or in the middle of a request."""
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             begun, rested = await stage.client(), await stage.client()
             assert (await rested.ask(1)).status == 200
@@ -283,7 +283,7 @@
     fail_every_second_accept(monkeypatch, errno.EMFILE)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             resting = [await stage.client() for _ in range(12)]
             for id, client in enumerate(resting, 1):
@@ -313,7 +313,7 @@
             return real(self, address)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             monkeypatch.setattr(
                 "tansykeel.platform.connection.open_socket", lambda address: FailingSocket(socket.AF_INET)
@@ -355,7 +355,7 @@
     answers = iter([b"HTTP/1.1 200 OK\r\n\r\npart", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"])
 
     async def go():
-        store = Store("s0", 0, lambda request: next(answers))
+        store = FakeStore("s0", 0, lambda request: next(answers))
         async with staged(tmp_path, store) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             monkeypatch.setattr("tansykeel.platform.connection.open_socket", open_breaking)
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -60,7 +60,7 @@
             writer.transport.abort()
 
 
-class Store(FakeServer):
+class FakeStore(FakeServer):
     """A store; `reply(request)` gives the bytes to answer with, None to say nothing, b'' to reset."""
 
     def __init__(self, name, shard, reply=lambda request: ok()):
