--- a/tests/platform/test_config.py
+++ b/tests/platform/test_config.py
@@ -74,7 +74,7 @@
             configuration(tmp_path, other.address)
             failed = fail_to_read(monkeypatch, failure, 2)
             stage.gateway.reload_config()
-            await until(lambda: other.asked)
+            await until(lambda: other.watch_requests)
             assert len(failed) == 2
         await other.stop()
 
@@ -91,8 +91,8 @@
             stage.gateway.reload_config()
             configuration(tmp_path, third.address)
             stage.gateway.reload_config()
-            await until(lambda: third.asked)
-            assert not second.asked
+            await until(lambda: third.watch_requests)
+            assert not second.watch_requests
         await second.stop()
         await third.stop()
 
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -19,7 +19,7 @@
         async with staged(tmp_path, store) as stage:
             await other.start()
             await until(lambda: stage.gateway.core.list_version == 5)
-            assert stage.list.asked == ["/catalog/members?stream=1&index=1"]
+            assert stage.list.watch_requests == ["/catalog/members?stream=1&index=1"]
             stage.list.tell([store.row(phase="Gone"), other.row()])
             await until(lambda: stage.gateway.core.list_version == 6)
             stage.list.revision = 2
@@ -50,7 +50,7 @@
             assert len(gateway.discovery.watches) == 2
             await until(lambda: gateway.core.list_version == 9)
             assert [watch.host.decode() for watch in gateway.discovery.watches] == [moved.address]
-            assert moved.asked == ["/catalog/members?stream=1&index=5"]
+            assert moved.watch_requests == ["/catalog/members?stream=1&index=5"]
             await moved.stop()
 
     run_test(go())
@@ -108,7 +108,7 @@
                 "s0": "ready",
                 "s1": "draining",
             }
-            assert len(stage.list.asked) == 1
+            assert len(stage.list.watch_requests) == 1
             await other.stop()
 
     run_test(go())
@@ -126,20 +126,25 @@
             discovery, core = stage.gateway.discovery, stage.gateway.core
             clock = [discovery.now()]
             discovery.now = lambda: clock[0]
-            await until(lambda: list_.asked and (discovery.watches[0].spoke or mute == "connect"))
+            await until(lambda: list_.watch_requests and (discovery.watches[0].spoke or mute == "connect"))
             begun = discovery.heard
             while core.list_version < 5:
                 clock[0] += 0.25
                 assert clock[0] <= begun + 6.0
-                tried = len(list_.asked)
+                tried = len(list_.watch_requests)
                 newest = discovery.watches[-1]
                 discovery.look()
                 if discovery.watches[-1] is not newest:
-                    await until(lambda tried=tried: len(list_.asked) > tried)
+                    await until(lambda tried=tried: len(list_.watch_requests) > tried)
                     await until(
-                        lambda: list_.mute or list_.muted and len(list_.asked) == more + 1 or core.list_version == 5
+                        lambda: (
+                            list_.mute
+                            or list_.muted
+                            and len(list_.watch_requests) == more + 1
+                            or core.list_version == 5
+                        )
                     )
-            assert len(list_.asked) == more + 2
+            assert len(list_.watch_requests) == more + 2
             await until(lambda: len(discovery.watches) == 1)
 
     run_test(go())
@@ -186,7 +191,7 @@
             discovery, core = stage.gateway.discovery, stage.gateway.core
             clock = [discovery.now()]
             discovery.now = lambda: clock[0]
-            await until(lambda: list_.asked and discovery.watches[0].spoke)
+            await until(lambda: list_.watch_requests and discovery.watches[0].spoke)
             begun = discovery.heard
             while core.list_version < 5:
                 clock[0] += 0.25
@@ -194,7 +199,7 @@
                 before = len(came)
                 list_.drip(drip)
                 await until(lambda before=before: len(came) > before)
-                opened = len(list_.asked)
+                opened = len(list_.watch_requests)
                 discovery.look()
                 if len(discovery.watches) > opened:
                     await until(lambda: core.list_version == 5)
@@ -241,7 +246,7 @@
 
     class Changes(FakeDiscovery):
         def text(self, rows, full):
-            return super().text(rows, full and (whole or self.asked != []))
+            return super().text(rows, full and (whole or self.watch_requests != []))
 
     async def go():
         stores = [FakeStore("s0", 0), FakeStore("s1", 1), FakeStore("s2", 2)]
@@ -264,7 +269,7 @@
             moved.tell([stores[0].row(up_since_ms=1000)])  # a new start may be sent to again
             await until(lambda: core.list_version == 4)
             assert [core.stores[f"s{n}"].state.value for n in range(3)] == ["ready", "draining", "ready"]
-            assert moved.asked[0].endswith("index=6") and len(moved.asked) == (1 if whole else 2)
+            assert moved.watch_requests[0].endswith("index=6") and len(moved.watch_requests) == (1 if whole else 2)
             await moved.stop()
 
     run_test(go())
@@ -284,7 +289,9 @@
             moving(stage, last, tmp_path)
             assert connecting.stream.closed and len(discovery.watches) == 2
             await until(lambda: stage.gateway.core.list_version == 12)
-            assert [watch.host.decode() for watch in discovery.watches] == [last.address] and len(last.asked) == 1
+            assert [watch.host.decode() for watch in discovery.watches] == [last.address] and len(
+                last.watch_requests
+            ) == 1
             await between.stop()
             await last.stop()
 
--- a/tests/platform/test_ending.py
+++ b/tests/platform/test_ending.py
@@ -241,7 +241,7 @@
 
     async def go():
         async with staged(tmp_path, FakeStore("s0", 0), list_=FakeDiscovery(mute=["connect"] * 9)) as stage:
-            await until(lambda: stage.list.asked)
+            await until(lambda: stage.list.watch_requests)
             begun, told, end = asyncio.get_running_loop().time(), [], stage.gateway._answer_remaining
 
             async def ends(killed):
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -54,7 +54,7 @@
             list_.server = await asyncio.start_server(list_._talk, "127.0.0.1", port)
             list_.writers = []
             begun = time.monotonic()
-            await until(lambda: list_.asked, 6.0)
+            await until(lambda: list_.watch_requests, 6.0)
             answer = await gateway.ask(request_bytes(1 << 40))
             assert (answer.status, answer.body) == (200, b"data") and time.monotonic() - begun < 6.0
             assert "Too many open files" not in gateway.said() and '"failed"' not in gateway.said()
@@ -71,7 +71,7 @@
     async def go():
         list_ = await FakeDiscovery(mute=["connect"] * 99 if moment == "before the list" else ()).start()
         async with process(tmp_path, list_.address) as gateway:
-            await until(lambda: list_.asked)
+            await until(lambda: list_.watch_requests)
             if moment != "before the list":
                 assert (await gateway.ask(HEALTH)).status == 200
             begun = time.monotonic()
--- a/tests/platform/test_start_signals.py
+++ b/tests/platform/test_start_signals.py
@@ -45,7 +45,7 @@
             move_discovery(tmp_path, first, second)
             gateway.child.send_signal(signal.SIGHUP)
             assert (await gateway.ask(HEALTH)).status == 200
-            await until(lambda: second.asked)
+            await until(lambda: second.watch_requests)
             assert gateway.child.poll() is None
         await first.stop()
         await second.stop()
@@ -87,7 +87,7 @@
             move_discovery(tmp_path, first, second)
             gateway.child.send_signal(signal.SIGHUP)
             assert (await gateway.ask(HEALTH)).status == 200
-            await until(lambda: second.asked)
+            await until(lambda: second.watch_requests)
         finally:
             gateway.child.kill()
             gateway.child.wait()
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -99,13 +99,13 @@
 
     def __init__(self, mute=(), indent=None):
         self.mute, self.indent = list(mute), indent
-        self.revision, self.rows, self.asked, self.muted = 5, [], [], set()
+        self.revision, self.rows, self.watch_requests, self.muted = 5, [], [], set()
 
     async def talk(self, reader, writer):
         head = await reader.readuntil(b"\r\n\r\n")
         mute = self.mute.pop(0) if self.mute else None
         if mute == "end":
-            self.asked.append(head.split(b" ")[1].decode())
+            self.watch_requests.append(head.split(b" ")[1].decode())
             return
         if mute:
             self.muted.add(writer)
@@ -115,7 +115,7 @@
         for part in {None: (text[:7], text[7:]), "object": (text[:40],), "empty": (b"\n",)}.get(mute, ()):
             writer.write(b"%x\r\n%s\r\n" % (len(part), part))
         await writer.drain()
-        self.asked.append(head.split(b" ")[1].decode())
+        self.watch_requests.append(head.split(b" ")[1].decode())
         await reader.read()
 
     def drip(self, text):
