--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -36,7 +36,7 @@
         async with staged(tmp_path, store, settings=COLD) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             real = step_wall_clock(monkeypatch, step)
-            stage.list.tell([store.row(up_since_ms=(real() - age) * 1000)])
+            stage.list.send_update([store.row(up_since_ms=(real() - age) * 1000)])
             await until(lambda: stage.gateway.core.list_version == 6)
             stage.gateway.core.run_timers(stage.gateway.stores.clock())
             assert 0 <= age_in_seconds(stage, "s0") <= age + 0.5
@@ -55,7 +55,7 @@
             await until(lambda: stage.gateway.core.list_version == 5)
             assert 9.5 < age_in_seconds(stage, "s0") < 11.5
             real = step_wall_clock(monkeypatch, step)
-            stage.list.tell([store.row(up_since_ms=(real() - 0.3) * 1000)])
+            stage.list.send_update([store.row(up_since_ms=(real() - 0.3) * 1000)])
             await until(lambda: stage.gateway.core.list_version == 6)
             assert 0 <= age_in_seconds(stage, "s0") <= 1.0
 
@@ -73,7 +73,7 @@
         async with staged(tmp_path, store, settings=COLD) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             await asyncio.sleep(0.2)
-            stage.list.tell([store.row(up_since_ms=real() * 1000)])
+            stage.list.send_update([store.row(up_since_ms=real() * 1000)])
             await until(lambda: stage.gateway.core.list_version == 6)
             assert 0 <= age_in_seconds(stage, "s0") <= 3.0
 
--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -20,12 +20,12 @@
             await other.start()
             await until(lambda: stage.gateway.core.list_version == 5)
             assert stage.list.watch_requests == ["/catalog/members?stream=1&index=1"]
-            stage.list.tell([store.row(phase="Gone"), other.row()])
+            stage.list.send_update([store.row(phase="Gone"), other.row()])
             await until(lambda: stage.gateway.core.list_version == 6)
             stage.list.revision = 2
-            stage.list.tell([store.row()], full=True)
+            stage.list.send_update([store.row()], full=True)
             stage.list.revision = 8
-            stage.list.tell([other.row(locality="elsewhere")])
+            stage.list.send_update([other.row(locality="elsewhere")])
             await until(lambda: stage.gateway.core.list_version == 9)
             assert stage.gateway.core.stores["s0"].state.value == "gone"
             assert (await (await stage.client()).ask(1)).status == 200 and other.got and not store.got
@@ -102,7 +102,7 @@
         async with staged(tmp_path, store, known=False, list_=FakeDiscovery(indent=indent)) as stage:
             await other.start()
             await until(lambda: stage.gateway.core.list_version == 5)
-            stage.list.tell([store.row(), other.row(phase="Terminating")])
+            stage.list.send_update([store.row(), other.row(phase="Terminating")])
             await until(lambda: stage.gateway.core.list_version == 6)
             assert {name: one.state.value for name, one in stage.gateway.core.stores.items()} == {
                 "s0": "ready",
@@ -253,20 +253,20 @@
         async with staged(tmp_path, *stores) as stage:
             core = stage.gateway.core
             await until(lambda: core.list_version == 5)
-            stage.list.tell([stores[0].row(phase="Terminating")])
+            stage.list.send_update([stores[0].row(phase="Terminating")])
             await until(lambda: core.list_version == 6)
             moved = await Changes().start()
             moved.revision, moved.rows = 2, [stores[0].row(), stores[1].row()]
             moving(stage, moved, tmp_path)
             await until(lambda: core.list_version == 2)
             assert [core.stores[f"s{n}"].state.value for n in range(3)] == ["draining", "ready", "gone"]
-            moved.tell([stores[1].row(phase="Terminating"), stores[2].row()])
+            moved.send_update([stores[1].row(phase="Terminating"), stores[2].row()])
             await until(lambda: core.list_version == 3)
             assert [core.stores[f"s{n}"].state.value for n in range(3)] == ["draining", "draining", "ready"]
             moved.revision = 1
-            moved.tell([stores[1].row()])  # an older version is not believed as before
+            moved.send_update([stores[1].row()])  # an older version is not believed as before
             moved.revision = 3
-            moved.tell([stores[0].row(up_since_ms=1000)])  # a new start may be sent to again
+            moved.send_update([stores[0].row(up_since_ms=1000)])  # a new start may be sent to again
             await until(lambda: core.list_version == 4)
             assert [core.stores[f"s{n}"].state.value for n in range(3)] == ["ready", "draining", "ready"]
             assert moved.watch_requests[0].endswith("index=6") and len(moved.watch_requests) == (1 if whole else 2)
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -242,7 +242,7 @@
             client.writer.write(request_bytes(1))
             await until(lambda: any(pool.waiting for pool in gateway.stores.pools.values()))
             del gateway.stores.room
-            stage.list.tell([store.row(phase="Terminating"), other.row()])
+            stage.list.send_update([store.row(phase="Terminating"), other.row()])
             assert (await client.answer()).status == 200 and not store.got and len(other.got) == 1
             await other.stop()
 
@@ -362,7 +362,7 @@
             await until(lambda: gateway.core.list_version >= 0)
             for turn in range(12):
                 store = await FakeStore(f"s{turn}", 0).start()
-                stage.list.tell([store.row()], full=True)
+                stage.list.send_update([store.row()], full=True)
                 await until(lambda name=store.name: name in gateway.core.stores)
                 for id in range(4):
                     client = await stage.client()
@@ -370,7 +370,7 @@
                     assert (await client.ask(turn * 4 + id + 1, path=path)).status == 200
                     client.writer.close()
                 await store.stop()
-            stage.list.tell([], full=True)
+            stage.list.send_update([], full=True)
             await until(lambda: not gateway.clients.conns and not gateway.stores.pools)
             assert len(gateway.request_parser.volumes) == 10 and len(gateway.core.stores) == 3
             assert not gateway.core.held and not gateway.open_requests and not gateway.core.memory.by_client
--- a/tests/platform/test_held_up.py
+++ b/tests/platform/test_held_up.py
@@ -103,7 +103,7 @@
             async with held_up(gateway):
                 client.writer.write(request_bytes(10))
                 await asyncio.sleep(0.1)
-                list_.tell([store.row(phase="Terminating")])
+                list_.send_update([store.row(phase="Terminating")])
             assert (await client.answer()).status == 503
             assert 10 not in store.came
 
--- a/tests/platform/test_log_output.py
+++ b/tests/platform/test_log_output.py
@@ -87,8 +87,8 @@
             until_time = time.monotonic() + 3.0
             text = b""
             while b"\n" not in text.strip() and time.monotonic() < until_time:
-                list_.tell([])
-                list_.tell([{"id": "x", "host_port": "127.0.0.1:1", "cell": 1, "phase": "Ready"}])
+                list_.send_update([])
+                list_.send_update([{"id": "x", "host_port": "127.0.0.1:1", "cell": 1, "phase": "Ready"}])
                 await asyncio.sleep(0.1)
                 text += gateway.unread.read()
             lines = [json.loads(line) for line in text.splitlines() if line]
--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -228,7 +228,7 @@
                 client.writer.transport.abort()
                 await until(lambda: stage.gateway.core.counts.left == 1)
             else:
-                stage.list.tell([store.row(phase="Terminating")])
+                stage.list.send_update([store.row(phase="Terminating")])
                 await until(lambda: stage.gateway.core.list_version == 6)
                 assert (await client.answer()).status == 503
             for stream in late:
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -93,9 +93,9 @@
 
 
 class FakeDiscovery(FakeServer):
-    """Discovery; `tell` sends an object to whoever watches. `mute` says, for one watch after another, where each falls
-    silent: "connect", "head", "object" (in the middle of one), "empty" (after an empty line). `drip(text)` says more to
-    those. "end" ends one at once."""
+    """Discovery; `send_update` sends an object to all watches. `mute` says, for one watch after another, where each
+    falls silent: "connect", "head", "object" (in the middle of one), "empty" (after an empty line). `drip(text)` says
+    more to those. "end" ends one at once."""
 
     def __init__(self, mute=(), indent=None):
         self.mute, self.indent = list(mute), indent
@@ -126,7 +126,7 @@
         what = {"revision": self.revision, "complete": full, "members": rows}
         return json.dumps(what, indent=self.indent).encode() + b"\n"
 
-    def tell(self, rows, full=False):
+    def send_update(self, rows, full=False):
         self.revision += 1
         text = self.text(rows, full)
         for writer in self.writers:
