--- a/tests/platform/test_discovery.py
+++ b/tests/platform/test_discovery.py
@@ -28,7 +28,7 @@
             stage.list.send_update([other.row(locality="elsewhere")])
             await until(lambda: stage.gateway.core.list_version == 9)
             assert stage.gateway.core.stores["s0"].state.value == "gone"
-            assert (await (await stage.client()).ask(1)).status == 200 and other.got and not store.got
+            assert (await (await stage.client()).ask(1)).status == 200 and other.requests and not store.requests
             await other.stop()
 
     run_test(go())
@@ -169,7 +169,7 @@
         store = FakeStore("s0", 0)
         store.phase = "Terminating"
         async with staged(tmp_path, store, known={"phase": "Ready"}) as stage:
-            assert (await (await stage.client()).ask(1, x_remaining="0.4")).status == 503 and not store.got
+            assert (await (await stage.client()).ask(1, x_remaining="0.4")).status == 503 and not store.requests
 
     run_test(go())
 
--- a/tests/platform/test_ending.py
+++ b/tests/platform/test_ending.py
@@ -36,7 +36,7 @@
             held, kept = await stage.client(), await stage.client()
             assert (await kept.ask(2)).lasts
             held.writer.write(request_bytes(1))
-            await until(lambda: len(store.got) == 2)
+            await until(lambda: len(store.requests) == 2)
             stage.gateway.stop()
             late = await stage.client()  # still taken
             answer = await late.ask(3)
@@ -87,7 +87,9 @@
             if goes_on:
                 client.writer.write(request_bytes(1)[1:])
             answer = await client.answer()
-            assert (answer.status, answer.lasts, len(store.got)) == ((200, False, 1) if goes_on else (503, False, 0))
+            assert (answer.status, answer.lasts, len(store.requests)) == (
+                (200, False, 1) if goes_on else (503, False, 0)
+            )
             client.writer.close()
             assert await stage.serving == 0
 
@@ -134,7 +136,7 @@
                 answers.feed(data := await asyncio.get_running_loop().sock_recv(late, 65536))
                 assert data
             late.close()
-            assert (answer.status, answer.lasts, len(store.got)) == (status, False, int(status == 200))
+            assert (answer.status, answer.lasts, len(store.requests)) == (status, False, int(status == 200))
             assert await stage.serving == 0
 
     run_test(go())
@@ -194,7 +196,7 @@
             assert answers.next().status == 200 and not answers.behind
             assert await loop.sock_recv(client, 1) == b""  # an orderly end: what crossed may be sent again elsewhere
             client.close()
-            assert await stage.serving == 0 and len(store.got) == 1
+            assert await stage.serving == 0 and len(store.requests) == 1
 
     run_test(go())
 
--- a/tests/platform/test_final_answers.py
+++ b/tests/platform/test_final_answers.py
@@ -62,7 +62,7 @@
             stage.gateway.stores.most = 1
             first, left, last = [await stage.client() for _ in range(3)]
             first.writer.write(request_bytes(1, x_remaining="0.8"))
-            await until(lambda: held.got)
+            await until(lambda: held.requests)
             left.writer.write(request_bytes(2, x_extent="units=2,shard=2,hosts=1"))
             await until(lambda: stage.gateway.stores.has_waiting())
             last.writer.write(request_bytes(3, x_extent="units=2,shard=1,hosts=1"))
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -18,7 +18,7 @@
             assert (await client.ask(1)).body == b"read"
             answer = await client.ask(2, body=b"abc", path=b"/api/" + VOLUME + b"/00000000000000ff?x=1%20")
             assert (answer.status, answer.body) == (200, b"cba")
-            got = store.got[1]
+            got = store.requests[1]
             assert (got.method, got.body) == (b"PUT", b"abc")
             assert got.target == b"/api/" + VOLUME + b"/00000000000000ff?x=1%20"
             assert got.fields[b"x-txn"] == b"%016x" % 2 and 0 < float(got.fields[b"x-remaining"]) < 2.5
@@ -70,7 +70,7 @@
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             assert (await client.ask(1, **changes)).status == status
-            assert await client.ended() and not store.got and not stage.gateway.open_requests
+            assert await client.ended() and not store.requests and not stage.gateway.open_requests
 
     run_test(go())
 
@@ -92,8 +92,8 @@
         async with staged(tmp_path, store) as stage:
             first, second = await stage.client(), await stage.client()
             first.writer.write(request_bytes(7))
-            await until(lambda: store.got)
-            assert (await second.ask(7)).status == 409 and len(store.got) == 1
+            await until(lambda: store.requests)
+            assert (await second.ask(7)).status == 409 and len(store.requests) == 1
             store.writers[0].write(ok())
             assert (await first.answer()).status == 200
 
@@ -114,11 +114,11 @@
 )
 def test_a_spoilt_answer_is_a_failed_hand_off_and_a_good_one_counts(tmp_path, first, hand_offs):
     async def go():
-        store = FakeStore("s0", 0, lambda request: first if len(store.got) == 1 else ok())
+        store = FakeStore("s0", 0, lambda request: first if len(store.requests) == 1 else ok())
         async with staged(tmp_path, store) as stage:
             answer = await (await stage.client()).ask(1)
-            assert (answer.status, answer.body, len(store.got)) == (200, b"data", hand_offs)
-            assert {request.fields[b"x-txn"] for request in store.got} == {b"%016x" % 1}
+            assert (answer.status, answer.body, len(store.requests)) == (200, b"data", hand_offs)
+            assert {request.fields[b"x-txn"] for request in store.requests} == {b"%016x" % 1}
 
     run_test(go())
 
@@ -146,8 +146,8 @@
             stores, client = stage.gateway.stores, await stage.client()
             assert (await client.ask(1)).status == 200 and stores.trusted == 12.0
             await asyncio.sleep(0.1)
-            store.reply = lambda request: b"" if len(store.got) == 2 else ok()
-            assert (await client.ask(2)).status == 200 and len(store.got) == 3 and len(store.writers) == 2
+            store.reply = lambda request: b"" if len(store.requests) == 2 else ok()
+            assert (await client.ask(2)).status == 200 and len(store.requests) == 3 and len(store.writers) == 2
             assert 0.05 <= stores.trusted < 1.0
             await asyncio.sleep(2 * stores.trusted)
             assert (await client.ask(3)).status == 200 and len(store.writers) == 3
@@ -177,7 +177,7 @@
 
             gateway.stores.room = room
             assert (await client.ask(1)).status == 200
-            assert gateway.core.counts.outcomes == ends and len(store.got) == 1
+            assert gateway.core.counts.outcomes == ends and len(store.requests) == 1
 
     run_test(go())
 
@@ -208,7 +208,7 @@
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             client.writer.write(request_bytes(1))
-            await until(lambda: store.got)
+            await until(lambda: store.requests)
             client.writer.close()
             await until(lambda: not stage.gateway.core.held and not stage.gateway.open_requests)
             assert stage.gateway.core.counts.outcomes == {"cancelled": 1}
@@ -243,7 +243,7 @@
             await until(lambda: any(pool.waiting for pool in gateway.stores.pools.values()))
             del gateway.stores.room
             stage.list.send_update([store.row(phase="Terminating"), other.row()])
-            assert (await client.answer()).status == 200 and not store.got and len(other.got) == 1
+            assert (await client.answer()).status == 200 and not store.requests and len(other.requests) == 1
             await other.stop()
 
     run_test(go())
@@ -321,7 +321,7 @@
             done, waiting = await asyncio.wait(answers, return_when=asyncio.FIRST_COMPLETED)
             assert [task.result().status for task in done] == [503] and len(waiting) == 1
             (first if answers[0] in waiting else second).writer.write(b"x")
-            assert (await waiting.pop()).status == 200 and len(store.got) == 1
+            assert (await waiting.pop()).status == 200 and len(store.requests) == 1
 
     run_test(go())
 
@@ -333,7 +333,7 @@
         store = FakeStore("s0", 0, lambda request: ok())
         async with staged(tmp_path, store) as stage:
             stage.gateway.stores.most = 1
-            store.reply = lambda request: b"" if len(store.got) == 1 else ok()
+            store.reply = lambda request: b"" if len(store.requests) == 1 else ok()
             clients = [await stage.client() for _ in range(3)]
             answers = await asyncio.gather(*(client.ask(id) for id, client in enumerate(clients, 1)))
             assert [answer.status for answer in answers] == [200, 200, 200]
--- a/tests/platform/test_leaving.py
+++ b/tests/platform/test_leaving.py
@@ -56,7 +56,7 @@
                 pool.serve_waiting()
             other = await stage.client()
             assert (await other.ask(2)).status == 200
-            assert [request.fields[b"x-txn"][-1:] for request in store.got] == [b"2"]
+            assert [request.fields[b"x-txn"][-1:] for request in store.requests] == [b"2"]
             await until(lambda: not stage.gateway.core.held)
 
     run_test(go())
@@ -85,7 +85,7 @@
             assert time.monotonic() - begun < 2.0  # before its time is up
             stores.room = room
             assert (await (await stage.client()).ask(3)).status == 200
-            assert [request.fields[b"x-txn"][-1:] for request in store.got] == [b"3"]
+            assert [request.fields[b"x-txn"][-1:] for request in store.requests] == [b"3"]
 
     run_test(go())
 
@@ -111,11 +111,11 @@
                 hand_off(attempt)
 
             stage.gateway.stores.hand_off = leaves_then
-            before = len(store.got)
+            before = len(store.requests)
             client.send(request_bytes(1))
             await left(stage)
             assert (await (await stage.client()).ask(2)).status == 200
-            assert [request.fields[b"x-txn"][-1:] for request in store.got[before:]] == [b"2"]
+            assert [request.fields[b"x-txn"][-1:] for request in store.requests[before:]] == [b"2"]
             await until(lambda: not stage.gateway.core.held)
 
     run_test(go())
@@ -141,7 +141,7 @@
             client.send(request_bytes(1))
             await left(stage)
             assert (await (await stage.client()).ask(2)).status == 200
-            assert [request.fields[b"x-txn"][-1:] for request in store.got] == [b"1", b"2"]
+            assert [request.fields[b"x-txn"][-1:] for request in store.requests] == [b"1", b"2"]
 
     run_test(go())
 
@@ -157,7 +157,7 @@
             clients = [connected(stage) for _ in range(20)]
             for id, client in enumerate(clients, 1):
                 client.send(request_bytes(id))
-            await until(lambda: store.got and stage.gateway.core.counts.taken == 20)
+            await until(lambda: store.requests and stage.gateway.core.counts.taken == 20)
             answered = stage.gateway.stores.answered
 
             def leave_then(attempt, answer):
@@ -166,12 +166,12 @@
                 answered(attempt, answer)
 
             stage.gateway.stores.answered = leave_then
-            begun = {request.fields[b"x-txn"] for request in store.got}
+            begun = {request.fields[b"x-txn"] for request in store.requests}
             store.writers[0].write(ok())
             await left(stage, 19)  # one has its answer
             store.reply = lambda request: ok()
             assert (await (await stage.client()).ask(99)).status == 200
-            assert {request.fields[b"x-txn"] for request in store.got} - begun == {b"%016x" % 99}
+            assert {request.fields[b"x-txn"] for request in store.requests} - begun == {b"%016x" % 99}
 
     run_test(go())
 
@@ -182,12 +182,12 @@
         async with staged(tmp_path, store) as stage:
             flood, other = await stage.client(), await stage.client()
             flood.writer.write(request_bytes(1))
-            await until(lambda: store.got)
+            await until(lambda: store.requests)
             flood.writer.write(request_bytes(2, body=b"x" * 60_000) * 40)
             answer = await flood.answer()
             assert (answer.status, answer.lasts) == (413, False)
             store.reply = lambda request: ok()
-            assert (await other.ask(3)).status == 200 and len(store.got) == 2
+            assert (await other.ask(3)).status == 200 and len(store.requests) == 2
             assert not stage.gateway.open_requests and stage.gateway.clients.unread_bytes() == 0
 
     run_test(go())
--- a/tests/platform/test_log_output.py
+++ b/tests/platform/test_log_output.py
@@ -66,7 +66,7 @@
             assert (await gateway.ask(request_bytes(1))).status == 200
             path = b"/api/00000003b4d60021/00000000000000ff"
             held = [asyncio.create_task(gateway.ask(request_bytes(id, path=path))) for id in (2, 3, 4)]
-            await until(lambda: len(store.got) >= 4)
+            await until(lambda: len(store.requests) >= 4)
             gateway.child.send_signal(signal.SIGTERM)
             answers = await asyncio.gather(*held)
             assert [answer.status for answer in answers] == [503] * 3
--- a/tests/platform/test_second_answers.py
+++ b/tests/platform/test_second_answers.py
@@ -203,7 +203,7 @@
             while data := await reader.read(65536):
                 requests.feed(data)
                 while (request := requests.next()) is not None:
-                    self.got.append(request)
+                    self.requests.append(request)
                     if again := self.given_up.pop(writer, None):
                         writer.write(again)
                     self.tasks.add(asyncio.create_task(self.respond(writer, request)))
--- a/tests/platform/test_stores.py
+++ b/tests/platform/test_stores.py
@@ -44,7 +44,7 @@
             client = await stage.client()
             for id in (1, 2):
                 client.writer.write(request_bytes(id))
-                await until(lambda id=id: len(store.got) == id)
+                await until(lambda id=id: len(store.requests) == id)
                 end(store.writers[-1])
                 answer = await client.answer()
                 assert (answer.status, answer.body) == (200, b"x" * size)
@@ -59,7 +59,7 @@
     """What was asked may have run: it goes again only where that is allowed."""
 
     async def go():
-        store = FakeStore("s0", 0, lambda request: head + b"bod" if len(store.got) == 1 else ok())
+        store = FakeStore("s0", 0, lambda request: head + b"bod" if len(store.requests) == 1 else ok())
         async with staged(tmp_path, store, settings=settings) as stage:
             client = await stage.client()
             client.writer.write(request_bytes(1))
@@ -72,7 +72,7 @@
             )
             reset(store.writers[0])
             answer = await client.answer()
-            assert (answer.status, len(store.got)) == ((500, 1) if settings is ONCE else (200, 2))
+            assert (answer.status, len(store.requests)) == ((500, 1) if settings is ONCE else (200, 2))
             assert stage.gateway.core.counts.outcomes["reset"] == 1
 
     run_test(go())
@@ -141,14 +141,14 @@
 
             def late_then(attempt):
                 sock = store.writers[0].get_extra_info("socket")
-                if len(store.got) == 1 and sock.fileno() >= 0:
+                if len(store.requests) == 1 and sock.fileno() >= 0:
                     socket.socket.send(socket.socket(fileno=socket.dup(sock.fileno())), what)
                 hand_off(attempt)
 
             stores.hand_off = late_then
             assert (await client.ask(2)).body == b"%016x" % 2
             assert (await client.ask(3)).body == b"%016x" % 3
-            assert [request.fields[b"x-txn"] for request in store.got] == [b"%016x" % id for id in (1, 2, 3)]
+            assert [request.fields[b"x-txn"] for request in store.requests] == [b"%016x" % id for id in (1, 2, 3)]
 
     run_test(go())
 
@@ -165,7 +165,7 @@
             assert (await client.ask(1)).body == b"%016x" % 1
             client.writer.write(request_bytes(2))
             await until(lambda: stage.gateway.core.counts.hand_offs == 2)
-            assert len(store.got) == 1
+            assert len(store.requests) == 1
             store.writers[0].write(ok(b"copy"))
             assert (await client.answer()).body == b"%016x" % 2
 
@@ -192,12 +192,12 @@
 
             monkeypatch.setattr(Stream, "write", part)
             client.writer.write(request_bytes(1, body=b"abc"))
-            await until(lambda: held and store.writers and (store.got or not whole))
+            await until(lambda: held and store.writers and (store.requests or not whole))
             store.reply = lambda request: ok()
             reset(store.writers[0])
             answer = await client.answer()
             ran = whole and settings is ONCE
-            assert (answer.status, len(store.got)) == ((500, 1) if ran else (200, 2 if whole else 1))
+            assert (answer.status, len(store.requests)) == ((500, 1) if ran else (200, 2 if whole else 1))
             assert ("reset" in stage.gateway.core.counts.outcomes) is whole
 
     run_test(go())
@@ -235,7 +235,7 @@
                 connected(stream)
             await asyncio.sleep(0)
             pool = next(iter(stage.gateway.stores.pools.values()))
-            assert not pool.waiting and not store.got and not any(one.attempt for one in pool.connections)
+            assert not pool.waiting and not store.requests and not any(one.attempt for one in pool.connections)
 
     run_test(go())
 
@@ -248,14 +248,14 @@
         async with staged(tmp_path, store, settings=ONCE) as stage:
             client, core = await stage.client(), stage.gateway.core
             client.writer.write(request_bytes(1))
-            await until(lambda: store.got)
+            await until(lambda: store.requests)
             attempt = next(iter(core.held.values())).open_attempts[0]
             store.writers[0].write(ok())
             end(store.writers[0])
             core.runner.move(attempt.deadline)
             core._attempt_timed_out(attempt)
             answer = await client.answer()
-            assert answer.status == 500 and core.counts.outcomes == {"timed out": 1} and len(store.got) == 1
+            assert answer.status == 500 and core.counts.outcomes == {"timed out": 1} and len(store.requests) == 1
             await until(lambda: not core.held and not any(p.connections for p in stage.gateway.stores.pools.values()))
             store.reply = lambda request: ok()
             await served(client)
--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -65,14 +65,14 @@
 
     def __init__(self, name, shard, reply=lambda request: ok()):
         self.name, self.shard, self.reply = name, shard, reply
-        self.got, self.phase, self.since = [], "Ready", 0
+        self.requests, self.phase, self.since = [], "Ready", 0
 
     async def talk(self, reader, writer):
         requests = codec.RequestReader()
         while data := await reader.read(65536):
             requests.feed(data)
             while (request := requests.next()) is not None:
-                self.got.append(request)
+                self.requests.append(request)
                 answer = self.reply(request)
                 if answer == b"":
                     return writer.transport.abort()
