--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -1,4 +1,4 @@
-"""The platform's gateway on loopback: what its clients and stores see in each hard case."""
+"""The platform's gateway on loopback: how it serves its clients and stores, failures included."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tansykeel.platform.clients import Clients
 
 
-def test_a_task_goes_all_the_way_unchanged(tmp_path):
+def test_a_request_and_its_answer_are_passed_on_unchanged(tmp_path):
     async def go():
         store = FakeStore("s0", 0, lambda request: ok(request.body[::-1] or b"read", b"X-Meter: 40\r\nX-Delta: 3\r\n"))
         async with staged(tmp_path, store) as stage:
@@ -23,13 +23,15 @@
             assert got.target == b"/api/" + VOLUME + b"/00000000000000ff?x=1%20"
             assert got.fields[b"x-txn"] == b"%016x" % 2 and 0 < float(got.fields[b"x-remaining"]) < 2.5
             await asyncio.sleep(0.02)
-            conns = len(store.writers)
-            assert (await client.ask(3)).status == 200 and len(store.writers) == conns  # a rested one is used again
+            connections = len(store.writers)
+            assert (await client.ask(3)).status == 200 and len(
+                store.writers
+            ) == connections  # the idle connection is used again
 
     run_test(go())
 
 
-def test_it_is_ready_and_serves_with_only_what_it_knew(tmp_path):
+def test_it_serves_with_the_known_stores_while_discovery_is_silent(tmp_path):
     async def go():
         async with staged(tmp_path, FakeStore("s0", 0), list_=FakeDiscovery(mute=["connect"])) as stage:
             client = await stage.client()
@@ -64,7 +66,7 @@
         (dict(transfer_encoding="chunked", content_length="3"), 400),
     ],
 )
-def test_what_can_t_be_a_task_gets_an_error_and_no_store_hears_of_it(tmp_path, changes, status):
+def test_a_request_that_is_no_task_gets_an_error_and_is_not_sent_to_a_store(tmp_path, changes, status):
     async def go():
         store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
@@ -86,7 +88,7 @@
     run_test(go())
 
 
-def test_the_id_of_an_open_request_is_refused_and_the_first_lives_on(tmp_path):
+def test_the_id_of_an_open_request_is_rejected_and_the_open_one_is_answered(tmp_path):
     async def go():
         store = FakeStore("s0", 0, lambda request: None)
         async with staged(tmp_path, store) as stage:
@@ -112,7 +114,7 @@
         (ok(fields=b"X-Meter: many\r\nX-Delta: -4\r\nX-Pressure: {\r\n"), 1),
     ],
 )
-def test_a_spoilt_answer_is_a_failed_hand_off_and_a_good_one_counts(tmp_path, first, hand_offs):
+def test_a_malformed_answer_is_a_failed_hand_off_and_the_next_good_one_is_delivered(tmp_path, first, hand_offs):
     async def go():
         store = FakeStore("s0", 0, lambda request: first if len(store.requests) == 1 else ok())
         async with staged(tmp_path, store) as stage:
@@ -123,7 +125,7 @@
     run_test(go())
 
 
-def test_a_large_answer_is_passed_on_whole_while_there_is_memory_for_it(tmp_path):
+def test_a_large_answer_is_passed_on_while_there_is_memory_for_it_and_fails_otherwise(tmp_path):
     async def go():
         store = FakeStore("s0", 0, lambda request: ok(b"x" * 400_000))
         async with staged(tmp_path, store) as stage:
@@ -136,8 +138,8 @@
     run_test(go())
 
 
-def test_kept_connections_are_trusted_less_once_one_was_found_dead(tmp_path, monkeypatch):
-    """Guards against connections that are dropped unseen while they idle: each costs its task a hand-off."""
+def test_idle_connections_are_reused_for_a_shorter_time_once_one_was_found_dead(tmp_path, monkeypatch):
+    """A store or a middlebox may drop idle connections without a sign. Each use of one costs its task a hand-off."""
     monkeypatch.setattr("tansykeel.platform.connection.STALE_WITHIN", 5.0)
 
     async def go():
@@ -159,7 +161,7 @@
 
 
 @pytest.mark.parametrize("fails, ends", [(1, {"delivered": 1}), (2, {"delivered": 1, "no connection": 1})])
-def test_a_second_connection_is_tried_before_a_hand_off_counts_as_not_connected(tmp_path, fails, ends):
+def test_a_second_connection_is_tried_before_a_hand_off_ends_with_no_connection(tmp_path, fails, ends):
     async def go():
         store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
@@ -184,8 +186,8 @@
 
 @pytest.mark.parametrize("behind", [ok(b"copy"), b"noise"])
 @pytest.mark.parametrize("at_once", [True, False])
-def test_more_than_an_answer_is_never_passed_on_and_ends_the_connection(tmp_path, behind, at_once):
-    """Guards against a second copy read as the answer to the next request."""
+def test_bytes_behind_an_answer_are_not_passed_on_and_end_the_connection(tmp_path, behind, at_once):
+    """A second copy of an answer was read as the answer to the next request."""
 
     async def go():
         store = FakeStore("s0", 0, lambda request: ok(request.fields[b"x-txn"]) + (behind if at_once else b""))
@@ -202,7 +204,7 @@
     run_test(go())
 
 
-def test_a_client_that_leaves_ends_its_hand_off(tmp_path):
+def test_a_client_that_disconnects_cancels_its_hand_off(tmp_path):
     async def go():
         store = FakeStore("s0", 0, lambda request: None)
         async with staged(tmp_path, store) as stage:
@@ -217,7 +219,7 @@
     run_test(go())
 
 
-def test_a_store_that_refuses_connections_never_ran_anything(tmp_path):
+def test_a_refused_connection_is_the_outcome_no_connection(tmp_path):
     async def go():
         store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
@@ -231,7 +233,7 @@
     run_test(go())
 
 
-def test_what_waits_for_a_connection_is_decided_anew_when_its_store_drains(tmp_path):
+def test_a_hand_off_that_waits_for_a_connection_goes_to_another_store_when_its_store_drains(tmp_path):
     async def go():
         store, other = FakeStore("s0", 0), FakeStore("s1", 0)
         async with staged(tmp_path, store, list_=FakeDiscovery()) as stage:
@@ -249,23 +251,23 @@
     run_test(go())
 
 
-def test_connections_that_say_nothing_make_room_for_those_that_ask(tmp_path):
+def test_connections_without_a_request_are_closed_for_new_ones(tmp_path):
     async def go():
         async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             clients: Clients = stage.gateway.clients
             clients.max_connections = 6
-            usual = await stage.client()
-            assert (await usual.ask(1)).status == 200
+            regular = await stage.client()
+            assert (await regular.ask(1)).status == 200
             for _ in range(30):
                 await stage.client()
             last = await stage.client()
-            assert (await last.ask(2)).status == 200 and (await usual.ask(3)).status == 200
+            assert (await last.ask(2)).status == 200 and (await regular.ask(3)).status == 200
             assert len(clients.conns) <= 6 and clients.unanswered["no room"] == 0
 
     run_test(go())
 
 
-def test_who_asked_once_and_stays_is_let_go_where_there_is_a_crowd(tmp_path, monkeypatch):
+def test_an_idle_connection_is_closed_early_while_the_gateway_is_crowded(tmp_path, monkeypatch):
     monkeypatch.setattr("tansykeel.platform.clients.CROWDED_IDLE_TIMEOUT", 0.05)
 
     async def go():
@@ -276,7 +278,7 @@
             clients.check_timeouts()
             await asyncio.sleep(0.1)
             clients.check_timeouts()
-            assert len(clients.conns) == 1  # no crowd yet
+            assert len(clients.conns) == 1  # not crowded yet
             clients.max_connections = 8
             for id in range(2, 4):
                 assert (await (await stage.client()).ask(id)).status == 200
@@ -286,7 +288,7 @@
     run_test(go())
 
 
-def test_silence_and_half_requests_end_in_time(tmp_path, monkeypatch):
+def test_connections_without_a_whole_request_get_a_408_in_time(tmp_path, monkeypatch):
     monkeypatch.setattr("tansykeel.platform.clients.REQUEST_TIMEOUT", 0.1)
 
     async def go():
@@ -299,7 +301,7 @@
     run_test(go())
 
 
-def test_a_client_that_says_close_is_answered_and_closed(tmp_path):
+def test_a_request_with_connection_close_is_answered_and_its_connection_closed(tmp_path):
     async def go():
         async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             client = await stage.client()
@@ -309,7 +311,7 @@
     run_test(go())
 
 
-def test_large_bodies_that_never_end_are_turned_away_once_they_fill_the_memory(tmp_path):
+def test_large_incomplete_bodies_are_rejected_once_they_fill_the_memory(tmp_path):
     async def go():
         store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
@@ -326,8 +328,8 @@
     run_test(go())
 
 
-def test_what_waits_gets_a_connection_though_the_one_it_waited_for_breaks(tmp_path):
-    """Guards against a hand-off left behind in a pool that may open no second connection."""
+def test_a_waiting_hand_off_gets_a_connection_after_the_one_it_waited_for_breaks(tmp_path):
+    """A hand-off was left waiting in a pool that may open only one connection."""
 
     async def go():
         store = FakeStore("s0", 0, lambda request: ok())
@@ -341,7 +343,7 @@
     run_test(go())
 
 
-def test_requests_sent_ahead_are_answered_in_order(tmp_path):
+def test_pipelined_requests_are_answered_in_order(tmp_path):
     async def go():
         store = FakeStore("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
@@ -352,7 +354,7 @@
     run_test(go())
 
 
-def test_ever_new_stores_clients_and_volumes_leave_nothing_behind(tmp_path, monkeypatch):
+def test_state_of_gone_stores_clients_and_volumes_is_freed(tmp_path, monkeypatch):
     monkeypatch.setattr("tansykeel.platform.intake.MAX_VOLUMES", 10)
     monkeypatch.setattr("tansykeel.edge.core.MAX_GONE_STORES", 3)
 
