--- a/tests/platform/test_ending.py
+++ b/tests/platform/test_ending.py
@@ -1,4 +1,4 @@
-"""The platform's gateway after SIGTERM: nothing that is read stays unanswered, nothing is closed under a request."""
+"""The platform's gateway after SIGTERM: it answers every request that it reads and resets no connection."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 @pytest.fixture(autouse=True)
-def soon(monkeypatch):
-    """Killed 2.5 s after SIGTERM: takes tasks for 1 s, has answered all after 2 s, is gone after 2.4 s."""
+def short_times(monkeypatch):
+    """Kill 2.5 s after SIGTERM: tasks are taken for 1 s, all are answered at 2 s, all connections closed at 2.4 s."""
     for name, seconds in (
         ("MAX_COUNTED_DEADLINE", 0.5),
         ("KILL_DELAY", 2.0),
@@ -29,7 +29,7 @@
     monkeypatch.setattr("tansykeel.platform.clients.REQUEST_TIMEOUT", 10.0)
 
 
-def test_sigterm_serves_on_for_a_while_then_closes_what_idles_and_answers_what_it_holds(tmp_path):
+def test_after_sigterm_it_serves_for_a_while_then_closes_idle_connections_and_answers_held_tasks(tmp_path):
     async def go():
         store = FakeStore("s0", 0, lambda request: None if request.fields[b"x-txn"] == b"%016x" % 1 else ok())
         async with staged(tmp_path, store) as stage:
@@ -38,7 +38,7 @@
             held.writer.write(request_bytes(1))
             await until(lambda: len(store.requests) == 2)
             stage.gateway.stop()
-            late = await stage.client()  # still taken
+            late = await stage.client()  # still accepted
             answer = await late.ask(3)
             assert answer.status == 200 and answer.lasts and not stage.gateway.closing
             assert await kept.ended() and stage.gateway.closing
@@ -50,32 +50,32 @@
     run_test(go())
 
 
-def test_a_client_that_never_rests_has_every_answer_and_is_closed_between_requests(tmp_path):
+def test_a_busy_client_gets_every_answer_and_is_closed_between_requests(tmp_path):
     async def go():
         async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             clients = [await stage.client() for _ in range(3)]
-            asked, answers = [0], []
+            sent, answers = [0], []
 
-            async def ask_on(client):
+            async def keep_asking(client):
                 while True:
-                    asked[0] += 1
-                    answer = await client.ask(asked[0])
+                    sent[0] += 1
+                    answer = await client.ask(sent[0])
                     answers.append(answer)
                     if answer is None or not answer.lasts:
                         return client.writer.close()
 
-            asking_on = [asyncio.create_task(ask_on(client)) for client in clients]
+            askers = [asyncio.create_task(keep_asking(client)) for client in clients]
             await until(lambda: len(answers) > 10)
             stage.gateway.stop()
             assert await stage.serving == 0
-            await asyncio.gather(*asking_on)
-            assert None not in answers and len(answers) == asked[0] and not stage.gateway.clients.conns
+            await asyncio.gather(*askers)
+            assert None not in answers and len(answers) == sent[0] and not stage.gateway.clients.conns
 
     run_test(go())
 
 
-@pytest.mark.parametrize("goes_on", [True, False])
-def test_who_began_to_ask_is_served_or_refused_and_not_cut_off(tmp_path, goes_on):
+@pytest.mark.parametrize("completes", [True, False])
+def test_a_partial_request_is_served_if_completed_and_otherwise_rejected(tmp_path, completes):
     async def go():
         store = FakeStore("s0", 0)
         async with staged(tmp_path, store) as stage:
@@ -84,11 +84,11 @@
             await until(lambda: any(one.reader.partial for one in stage.gateway.clients.conns))
             stage.gateway.stop()
             await until(lambda: stage.gateway.closing)
-            if goes_on:
+            if completes:
                 client.writer.write(request_bytes(1)[1:])
             answer = await client.answer()
             assert (answer.status, answer.lasts, len(store.requests)) == (
-                (200, False, 1) if goes_on else (503, False, 0)
+                (200, False, 1) if completes else (503, False, 0)
             )
             client.writer.close()
             assert await stage.serving == 0
@@ -98,9 +98,12 @@
 
 @pytest.mark.parametrize("asks", [True, False])
 @pytest.mark.parametrize("moment, status", [("_close_between_requests", 200), ("_answer_remaining", 503)])
-def test_who_connects_at_the_last_moment_is_heard(tmp_path, monkeypatch, moment, status, asks):
-    """Guards against connections that wait to be accepted and are reset as the listener closes: who comes while
-    answers are last ones is served, who comes in the moment in which the listener closes is refused and not sent on."""
+def test_a_connection_at_the_last_moment_gets_an_answer(tmp_path, monkeypatch, moment, status, asks):
+    """Connections that waited to be accepted were reset as the listener closed.
+
+    One that is opened while each answer ends its connection is served. One that is opened as the listener closes is
+    rejected, and its request is not sent to a store.
+    """
 
     async def go():
         store = FakeStore("s0", 0)
@@ -116,9 +119,9 @@
                 connect()
                 accept(listener, take)
 
-            async def connect_then_close(gateway, killed):
+            async def connect_then_close(gateway, kill_at):
                 connect()
-                await close(gateway, killed)
+                await close(gateway, kill_at)
 
             if moment == "_answer_remaining":
                 monkeypatch.setattr(program, "accept_waiting", connect_then_accept)
@@ -128,7 +131,7 @@
             stage.gateway.stop()
             await until(lambda: stage.gateway.core.stopping if moment == "_answer_remaining" else stage.gateway.closing)
             if not asks:
-                await asyncio.sleep(0.1)  # it is given time to ask, as its request may be on the way
+                await asyncio.sleep(0.1)  # within EVICTION_GRACE, in which the connection is kept
                 late.send(request_bytes(1))
             late.setblocking(False)
             answers = codec.AnswerReader()
@@ -142,8 +145,8 @@
     run_test(go())
 
 
-def test_a_connection_accepted_in_the_moment_of_the_end_is_handed_over():
-    """The end is told within the accept itself, between its two lines."""
+def test_a_connection_accepted_as_accepting_is_cancelled_is_handed_over():
+    """The task is cancelled within accept(), before it has the new socket."""
 
     async def go():
         plain, taken = listening("127.0.0.1:0"), []
@@ -170,8 +173,8 @@
             runner.run(go())
 
 
-def test_a_request_that_crosses_the_end_of_a_resting_connection_resets_nothing(tmp_path, monkeypatch):
-    """The request comes after the look at the connection and before its end, and the last answer is not read yet."""
+def test_a_request_that_arrives_as_its_idle_connection_is_ended_resets_nothing(tmp_path, monkeypatch):
+    """It arrives between the check that the connection is idle and its end, with the last answer not read yet."""
 
     async def go():
         store = FakeStore("s0", 0)
@@ -180,30 +183,32 @@
             client.send(request_bytes(1))
             await until(lambda: stage.gateway.core.counts.delivered)
 
-            def quiet_then_asked(stream):
-                was = quiet(stream)
-                if was and stage.gateway.closing and len(sent) < 1:
+            def quiet_then_request(stream):
+                was_quiet = quiet(stream)
+                if was_quiet and stage.gateway.closing and len(sent) < 1:
                     sent.append(client.send(request_bytes(2)))
-                return was
+                return was_quiet
 
             sent = []
-            monkeypatch.setattr(Stream, "quiet", quiet_then_asked)
+            monkeypatch.setattr(Stream, "quiet", quiet_then_request)
             stage.gateway.stop()
             await until(lambda: sent)
             client.setblocking(False)
             loop, answers = asyncio.get_running_loop(), codec.AnswerReader()
             answers.feed(await loop.sock_recv(client, 65536))
             assert answers.next().status == 200 and not answers.behind
-            assert await loop.sock_recv(client, 1) == b""  # an orderly end: what crossed may be sent again elsewhere
+            assert (
+                await loop.sock_recv(client, 1) == b""
+            )  # an orderly end: the client may send the request again elsewhere
             client.close()
             assert await stage.serving == 0 and len(store.requests) == 1
 
     run_test(go())
 
 
-def test_at_the_very_end_no_answer_is_taken_back_by_bytes_that_nobody_reads(tmp_path, monkeypatch):
-    """The system still holds most of the answer for a client that reads slowly, and bytes of the client come in the
-    moment of the close: a reset would take that with it."""
+def test_unread_bytes_at_the_last_close_do_not_destroy_an_answer(tmp_path, monkeypatch):
+    """The kernel still holds most of the answer for a client that reads slowly, and bytes of the client arrive at the
+    moment of the close. A reset would discard that part of the answer."""
     monkeypatch.setattr("tansykeel.platform.clients.LINGER", 5.0)
 
     async def go():
@@ -237,28 +242,28 @@
     run_test(go())
 
 
-def test_sigterm_while_the_first_list_is_waited_for_counts_from_then(tmp_path, monkeypatch):
-    """Guards against an end that is late by the time of the start: the platform counts from its signal."""
+def test_sigterm_during_the_wait_for_the_first_list_counts_from_its_arrival(tmp_path, monkeypatch):
+    """The gateway ended late by the rest of that wait: the platform counts the time to the kill from its signal."""
     monkeypatch.setattr(program, "FIRST_LIST_TIMEOUT", 1.0)
 
     async def go():
         async with staged(tmp_path, FakeStore("s0", 0), list_=FakeDiscovery(mute=["connect"] * 9)) as stage:
             await until(lambda: stage.list.watch_requests)
-            begun, told, end = asyncio.get_running_loop().time(), [], stage.gateway._answer_remaining
+            begun, times_left, end = asyncio.get_running_loop().time(), [], stage.gateway._answer_remaining
 
-            async def ends(killed):
-                told.append(killed - begun)
-                await end(killed)
+            async def record_then_end(kill_at):
+                times_left.append(kill_at - begun)
+                await end(kill_at)
 
-            stage.gateway._answer_remaining = ends
+            stage.gateway._answer_remaining = record_then_end
             stage.gateway.stop()
             stage.gateway.stop()
-            assert await stage.serving == 0 and 2.4 < told[0] < 2.6
+            assert await stage.serving == 0 and 2.4 < times_left[0] < 2.6
 
     run_test(go())
 
 
-def test_a_configuration_that_comes_after_the_end_opens_no_watch(tmp_path):
+def test_a_configuration_reloaded_after_the_stop_opens_no_watch(tmp_path):
     async def go():
         async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             stage.gateway.stop()
@@ -272,8 +277,8 @@
     run_test(go())
 
 
-def test_where_deadlines_are_short_new_connections_are_taken_while_they_come(tmp_path, monkeypatch):
-    """Killed 1.2 s after SIGTERM, as with deadlines of 0.5 s: clients connect for 0.4 s of them."""
+def test_with_short_deadlines_new_connections_are_accepted_during_the_stop(tmp_path, monkeypatch):
+    """Kill 1.2 s after SIGTERM, as with deadlines of 0.5 s. A client connects while answers end their connections."""
     for name, seconds in (
         ("KILL_DELAY", 0.7),
         ("DRAIN_BEFORE_KILL", 1.0),
