--- a/tests/platform/test_held_up.py
+++ b/tests/platform/test_held_up.py
@@ -1,4 +1,4 @@
-"""A gateway that is held up (SIGSTOP, a busy machine): what came meanwhile is known before anything is done."""
+"""A gateway that was suspended (SIGSTOP, a busy machine) reads what arrived meanwhile before it does anything else."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 
 from tansykeel.http1 import codec
 
-SLACK = 0.15  # seconds by which the time told to a store may be over what the client has left
-STOP = 1.2  # seconds for which the gateway stands still
+SLACK = 0.15  # seconds by which the time sent to a store may exceed what the client has left
+STOP = 1.2  # seconds for which the gateway is suspended
 
 
-class NotingStore(FakeStore):
-    """Notes when each request came, and what time it was told."""
+class RecordingStore(FakeStore):
+    """Records when each request arrived and the remaining time that it was sent."""
 
     def __init__(self, name, shard):
         super().__init__(name, shard, self._answer)
-        self.came = {}
+        self.arrivals = {}  # by request id
 
     def _answer(self, request):
         id = int(request.fields[b"x-txn"], 16)
-        self.came[id] = (time.monotonic(), float(request.fields[b"x-remaining"]))
+        self.arrivals[id] = (time.monotonic(), float(request.fields[b"x-remaining"]))
         return ok()
 
 
 class Client:
-    """A plain connection to the gateway."""
+    """A client's connection to the gateway."""
 
     async def connect(self, gateway):
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", gateway.port)
         return self
 
     async def answer(self):
-        """The next answer; None where the connection ends without one."""
+        """Return the next answer, None if the connection ends without one."""
         answers = codec.AnswerReader()
         while (answer := answers.next()) is None:
             try:
@@ -54,7 +54,7 @@
 
 @asynccontextmanager
 async def one_gateway(tmp_path):
-    store = NotingStore("s0", 0)
+    store = RecordingStore("s0", 0)
     await store.start()
     list_ = await FakeDiscovery().start()
     list_.rows = [store.row()]
@@ -67,7 +67,8 @@
 
 
 @asynccontextmanager
-async def held_up(gateway, seconds=STOP):
+async def suspended(gateway, seconds=STOP):
+    """Suspend the gateway's process for the body and `seconds` after it."""
     os.kill(gateway.child.pid, signal.SIGSTOP)
     try:
         yield
@@ -77,50 +78,52 @@
 
 
 @pytest.mark.parametrize("connected", [True, False])
-def test_the_time_told_to_a_store_is_what_is_left_after_a_stop(tmp_path, connected):
+def test_a_store_is_sent_the_time_that_is_left_after_a_suspension(tmp_path, connected):
     async def go():
         async with one_gateway(tmp_path) as (gateway, store, _):
             clients = [await Client().connect(gateway) for _ in range(4)] if connected else []
             await asyncio.sleep(0.2)
-            async with held_up(gateway):
+            async with suspended(gateway):
                 clients = clients or [await Client().connect(gateway) for _ in range(4)]
                 sent = time.monotonic()
                 for id, client in enumerate(clients, 10):
                     client.writer.write(request_bytes(id, x_remaining="2.0"))
             answers = await asyncio.gather(*(client.answer() for client in clients))
             assert all(answer and answer.status in (200, 503) for answer in answers)
-            told = {id: store.came[id] for id in range(10, 14) if id in store.came}
-            assert not [id for id, (came, left) in told.items() if left > sent + 2.0 - came + SLACK]
+            received = {id: store.arrivals[id] for id in range(10, 14) if id in store.arrivals}
+            assert not [id for id, (arrived, left) in received.items() if left > sent + 2.0 - arrived + SLACK]
 
     run_test(go())
 
 
-def test_nothing_is_sent_to_a_store_of_whose_drain_the_agent_told_during_a_stop(tmp_path):
+def test_nothing_is_sent_to_a_store_whose_drain_was_reported_during_a_suspension(tmp_path):
     async def go():
         async with one_gateway(tmp_path) as (gateway, store, list_):
             client = await Client().connect(gateway)
             await asyncio.sleep(0.2)
-            async with held_up(gateway):
+            async with suspended(gateway):
                 client.writer.write(request_bytes(10))
                 await asyncio.sleep(0.1)
                 list_.send_update([store.row(phase="Terminating")])
             assert (await client.answer()).status == 503
-            assert 10 not in store.came
+            assert 10 not in store.arrivals
 
     run_test(go())
 
 
-def test_a_request_that_came_during_a_stop_is_no_idle_connection_s_end(tmp_path):
-    """The stop outlasts the time for which a client may idle: its request is there when the gateway goes on."""
+def test_a_request_that_arrived_during_a_suspension_keeps_its_connection_from_idling_out(tmp_path):
+    """The suspension outlasts the idle timeout. The requests are unread when the gateway continues."""
 
     async def go():
         async with one_gateway(tmp_path) as (gateway, store, _):
-            clients = [await Client().connect(gateway) for _ in range(40)]  # a crowd: who idles for 2 s is ended
+            clients = [
+                await Client().connect(gateway) for _ in range(40)
+            ]  # so crowded that connections idle for 2 s are closed
             for id, client in enumerate(clients, 10):
                 client.writer.write(request_bytes(id))
             assert all([await client.answer() for client in clients])
             await asyncio.sleep(1.2)
-            async with held_up(gateway):
+            async with suspended(gateway):
                 await asyncio.sleep(0.1)
                 for id, client in enumerate(clients, 100):
                     client.writer.write(request_bytes(id))
@@ -130,8 +133,8 @@
     run_test(go())
 
 
-def test_who_connected_during_the_last_moments_of_a_gateway_that_is_held_up_is_answered(tmp_path):
-    """It is told to end, stands still until its time is up, and finds requests that came meanwhile."""
+def test_requests_that_arrived_during_a_suspension_after_sigterm_are_answered(tmp_path):
+    """The gateway gets SIGTERM, is suspended past the time by which it should have ended, and finds requests unread."""
 
     async def go():
         async with one_gateway(tmp_path) as (gateway, store, _):
@@ -139,7 +142,7 @@
             await asyncio.sleep(0.3)
             gateway.child.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.3)
-            async with held_up(gateway, 3.5):
+            async with suspended(gateway, 3.5):
                 for id, client in enumerate(clients, 10):
                     client.writer.write(request_bytes(id))
             answers = await asyncio.gather(*(client.answer() for client in clients))
