--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -1,4 +1,4 @@
-"""The gateway as the platform starts it: a process with its limit of descriptors, signals, and how soon it is ready."""
+"""The gateway as a process, as the platform starts it: time to readiness, the limit of descriptors, signals."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 @pytest.mark.parametrize("discovery", ["up", "silent", "refused"])
-def test_it_is_ready_soon_whatever_discovery_does(tmp_path, discovery):
-    """In processor time: at a twentieth of a core, 0.5 s of it are the 10 s that a restarted process may take. What it
-    waits for the first list comes to that."""
+def test_it_is_ready_in_time_whatever_discovery_does(tmp_path, discovery):
+    """A restarted process may take 10 s. At a twentieth of a core these are 0.5 s of processor time, to which the wait
+    for the first list is added."""
 
     async def go():
         list_ = await FakeDiscovery(mute=["connect"] * 99 if discovery == "silent" else ()).start()
@@ -31,25 +31,25 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 128, 256])
-def test_idle_clients_that_fill_the_descriptors_keep_neither_list_nor_attempts_away(tmp_path, sockets):
-    """Discovery is down and the stores refuse while more clients connect and stay than the process has descriptors:
-    some say nothing, some have asked and rest, some sent half a request. Then all returns."""
+def test_idle_clients_that_fill_the_descriptors_block_neither_discovery_nor_attempts(tmp_path, sockets):
+    """More clients connect and stay than the process has descriptors, while discovery is down: some send nothing, some
+    idle after a request, some sent a part of one. Then discovery returns."""
 
     async def go():
         port, store, list_ = free_port(), FakeStore("s0", 0), FakeDiscovery()
         await store.start()
         async with process(tmp_path, f"127.0.0.1:{port}", [store], sockets) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
-            crowd, most = [], 0
+            socks, most_descriptors = [], 0
             for n in range(2 * sockets):
                 sock = socket.create_connection(("127.0.0.1", gateway.port), 5.0)
                 with suppress(OSError):
                     sock.send([b"", HEALTH, request_bytes(n)[:9]][n % 3])
-                crowd.append(sock)
-                most = max(most, gateway.descriptors())
+                socks.append(sock)
+                most_descriptors = max(most_descriptors, gateway.descriptors())
                 if n % 8 == 0:
                     await asyncio.sleep(0.005)
-            assert most <= sockets - 4
+            assert most_descriptors <= sockets - 4
             list_.rows = [store.row()]
             list_.server = await asyncio.start_server(list_._talk, "127.0.0.1", port)
             list_.writers = []
@@ -58,7 +58,7 @@
             answer = await gateway.ask(request_bytes(1 << 40))
             assert (answer.status, answer.body) == (200, b"data") and time.monotonic() - begun < 6.0
             assert "Too many open files" not in gateway.said() and '"failed"' not in gateway.said()
-            for sock in crowd:
+            for sock in socks:
                 sock.close()
         await store.stop()
         await list_.stop()
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("moment", ["before the list", "ready", "twice"])
-def test_sigterm_ends_it_in_time_and_in_order(tmp_path, moment):
+def test_after_sigterm_it_ends_in_time_with_every_request_answered(tmp_path, moment):
     async def go():
         list_ = await FakeDiscovery(mute=["connect"] * 99 if moment == "before the list" else ()).start()
         async with process(tmp_path, list_.address) as gateway:
@@ -88,8 +88,9 @@
     run_test(go())
 
 
-def test_floods_and_slow_ones_are_told_so_and_paying_requests_go_on(tmp_path):
-    """Silence, a byte at a time, a body never ended, errors never read, answers taken at a trickle; all at once."""
+def test_misbehaving_clients_get_their_answers_and_other_requests_are_served(tmp_path):
+    """At the same time: connections that send nothing, one byte at a time or an incomplete body, ones that never read
+    their error, and ones that read their answer slowly."""
 
     async def go():
         store = FakeStore("s0", 0, lambda request: ok(b"x" * 60_000))
@@ -98,7 +99,7 @@
         list_.rows = [store.row()]
         async with process(tmp_path, list_.address, [store], 256) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
-            bad = []
+            misbehaving = []
             for n in range(40):
                 sock = socket.socket()
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -114,23 +115,23 @@
                             request_bytes(n + 100),
                         ][n % 5]
                     )
-                bad.append(sock)
-            end, statuses, at, served, id = time.monotonic() + 4.0, {}, {}, 0, 1 << 40
+                misbehaving.append(sock)
+            end, statuses, bytes_sent, served, id = time.monotonic() + 4.0, {}, {}, 0, 1 << 40
             while time.monotonic() < end:
                 id += 1
                 served += (await gateway.ask(request_bytes(id))).status == 200
-                for n, sock in enumerate(bad):
+                for n, sock in enumerate(misbehaving):
                     with suppress(OSError):
-                        if n % 5 == 1 and (due := int((time.monotonic() - end + 4.0) * 20)) > at.get(n, 0):
-                            at[n] = due
+                        if n % 5 == 1 and (due := int((time.monotonic() - end + 4.0) * 20)) > bytes_sent.get(n, 0):
+                            bytes_sent[n] = due
                             sock.send(request_bytes(n)[due : due + 1])
-                        if n % 5 != 3 and (said := sock.recv(64)):  # the fourth kind never reads its error
-                            statuses.setdefault(n % 5, re.search(rb"HTTP/1.1 (\d+)", said))
+                        if n % 5 != 3 and (received := sock.recv(64)):  # the fourth kind never reads its error
+                            statuses.setdefault(n % 5, re.search(rb"HTTP/1.1 (\d+)", received))
             assert served > 20
-            told = {kind: match[1] for kind, match in statuses.items() if match}
-            assert told == {0: b"408", 1: b"408", 2: b"408", 4: b"200"}
+            status_by_kind = {kind: match[1] for kind, match in statuses.items() if match}
+            assert status_by_kind == {0: b"408", 1: b"408", 2: b"408", 4: b"200"}
             assert '"failed"' not in gateway.said() and gateway.descriptors() < 200
-            for sock in bad:
+            for sock in misbehaving:
                 sock.close()
         await store.stop()
         await list_.stop()
