--- a/tests/platform/test_config.py
+++ b/tests/platform/test_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration file: one clear error for what can't be used."""
+"""The platform's configuration file: errors, and retries of reads that fail for a moment."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, says",
+    "change, message",
     [
         ({"listen": 5}, "listen"),
         ({"discovery": "nowhere"}, "discovery: address 'nowhere'; legal: host:port"),
@@ -24,19 +24,19 @@
         ({"known": {"revision": 1, "complete": True, "members": [{"id": "x"}]}}, "host_port"),
     ],
 )
-def test_a_configuration_that_can_t_be_used_gives_one_clear_error(tmp_path, change, says):
+def test_an_invalid_configuration_gives_one_error_line_with_path_and_reason(tmp_path, change, message):
     path = configuration(tmp_path, "127.0.0.1:9")
     path.write_text(json.dumps(json.loads(path.read_text()) | change))
     with pytest.raises(Illegal) as caught:
         read(str(path))
-    assert says in str(caught.value) and str(path) in str(caught.value) and "\n" not in str(caught.value)
+    assert message in str(caught.value) and str(path) in str(caught.value) and "\n" not in str(caught.value)
 
 
 UNREADABLE = [errno.EIO, errno.EMFILE, errno.ENFILE, errno.ENOMEM]
 
 
 def fail_to_read(monkeypatch, failure, times):
-    """The next `times` reads of a file fail; the list of those that did."""
+    """Let the next `times` reads of a file fail. Return the list of the paths whose read failed."""
     failed, real = [], Path.read_bytes
 
     def read_bytes(path):
@@ -50,22 +50,22 @@
 
 
 @pytest.mark.parametrize("failure", UNREADABLE, ids=lambda failure: errno.errorcode[failure])
-def test_a_configuration_that_can_not_be_read_for_a_moment_is_taken_at_the_start(tmp_path, monkeypatch, failure):
-    """The gateway ended with code 2 before it served anybody."""
+def test_reading_the_configuration_is_retried_at_the_start(tmp_path, monkeypatch, failure):
+    """After one failed read the gateway ended with exit code 2 at its start."""
     path = configuration(tmp_path, "127.0.0.1:9")
     failed = fail_to_read(monkeypatch, failure, 3)
     assert read_at_start(str(path)).file.name == "n0"
     assert len(failed) == 3
 
 
-def test_a_configuration_that_is_not_there_is_told_at_once(tmp_path, monkeypatch):
+def test_a_missing_configuration_is_an_error_at_once(tmp_path, monkeypatch):
     with pytest.raises(Unreadable, match="No such file"):
         read_at_start(str(tmp_path / "none.json"))
 
 
 @pytest.mark.parametrize("failure", [*UNREADABLE, errno.ENOENT], ids=lambda failure: errno.errorcode[failure])
-def test_a_configuration_that_can_not_be_read_for_a_moment_is_taken_after_a_sighup(tmp_path, monkeypatch, failure):
-    """Its discovery was not watched until the next SIGHUP, while the old one went: no drain was heard from then on."""
+def test_reading_the_configuration_is_retried_after_a_sighup(tmp_path, monkeypatch, failure):
+    """The new discovery was not watched until the next SIGHUP. With the old one gone, no drain was seen until then."""
 
     async def go():
         other = await FakeDiscovery().start()
@@ -81,7 +81,7 @@
     run_test(go())
 
 
-def test_of_signals_in_series_the_last_file_counts(tmp_path, monkeypatch):
+def test_after_several_sighups_the_last_file_is_used(tmp_path, monkeypatch):
     async def go():
         second, third = await FakeDiscovery().start(), await FakeDiscovery().start()
         async with staged(tmp_path, FakeStore("s0", 0)) as stage:
