--- a/tests/platform/test_log_output.py
+++ b/tests/platform/test_log_output.py
@@ -1,4 +1,4 @@
-"""A log that nobody reads: standard output is full, broken or closed, and service goes on as before."""
+"""The gateway serves as usual while its standard output is full, broken or closed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 
 
 class UnreadLog:
-    """The write end of a pipe that a gateway gets as its standard output."""
+    """A pipe whose write end a gateway gets as its standard output. `kind`: "stalled" for a full pipe, "gone" for one
+    whose read end is closed; "closed" is left to the caller."""
 
     def __init__(self, kind):
         self.read_end, self.write_end = os.pipe()
@@ -33,6 +34,7 @@
             os.close(self.read_end)
 
     def read(self):
+        """Return what the pipe holds."""
         os.set_blocking(self.read_end, False)
         text = b""
         with suppress(BlockingIOError):
@@ -55,7 +57,7 @@
 
 
 @pytest.mark.parametrize("kind", ["gone", "stalled", "closed"])
-def test_requests_held_at_the_end_are_answered_though_nobody_reads_the_log(tmp_path, kind):
+def test_tasks_held_at_the_stop_are_answered_while_the_log_is_not_read(tmp_path, kind):
     async def go():
         store = FakeStore("s0", 0, lambda request: None if request.target.endswith(b"ff") else ok())
         await store.start()
@@ -78,15 +80,15 @@
     run_test(go())
 
 
-def test_a_reader_that_comes_back_finds_whole_lines_and_how_many_are_missing(tmp_path):
+def test_a_reader_that_returns_gets_whole_lines_and_the_number_of_lost_ones(tmp_path):
     async def go():
         list_ = await FakeDiscovery().start()
         async with process_with(tmp_path, "stalled", list_.address, []) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
             gateway.unread.read()
-            until_time = time.monotonic() + 3.0
+            end = time.monotonic() + 3.0
             text = b""
-            while b"\n" not in text.strip() and time.monotonic() < until_time:
+            while b"\n" not in text.strip() and time.monotonic() < end:
                 list_.send_update([])
                 list_.send_update([{"id": "x", "host_port": "127.0.0.1:1", "cell": 1, "phase": "Ready"}])
                 await asyncio.sleep(0.1)
