--- a/tests/platform/test_start_signals.py
+++ b/tests/platform/test_start_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come while a gateway is starting: from the first moment of the program on they are kept."""
+"""Signals that arrive while a gateway starts are handled, from the first line of the program on."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 MOMENTS = [0.0, 0.05, 0.1, 0.2, 0.3]  # seconds after the program has begun
 
 
-def has_sighup(gateway, kind):
+def sighup_is_in(gateway, kind):
     """Whether the process catches SIGHUP ("SigCgt") or ignores it ("SigIgn")."""
     status = Path(f"/proc/{gateway.child.pid}/status").read_text()
     return int(re.search(rf"{kind}:\s*([0-9a-f]+)", status)[1], 16) >> (signal.SIGHUP - 1) & 1
 
 
 async def until_program_has_begun(gateway):
-    """Before this the interpreter itself is starting: the program has not run a line."""
-    await until(lambda: has_sighup(gateway, "SigCgt"), 10.0)
+    """Wait until the program handles SIGHUP. Before this, only the interpreter has started."""
+    await until(lambda: sighup_is_in(gateway, "SigCgt"), 10.0)
 
 
 def move_discovery(tmp_path, first, second):
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-def test_a_new_configuration_during_the_start_is_taken_and_ends_nothing(tmp_path, moment):
+def test_sighup_during_the_start_reloads_the_configuration_and_ends_nothing(tmp_path, moment):
     async def go():
         first, second = await FakeDiscovery().start(), await FakeDiscovery().start()
         async with process(tmp_path, first.address) as gateway:
@@ -54,8 +54,8 @@
 
 
 @pytest.mark.parametrize("moment", [0.0, 0.1, 0.3])
-def test_sigterm_during_the_start_ends_it_in_order(tmp_path, moment):
-    """The listener is open early: whoever connected meanwhile is owed an answer."""
+def test_sigterm_during_the_start_ends_it_in_time(tmp_path, moment):
+    """The listener is open early in the start, so clients that have connected by then have to be answered."""
 
     async def go():
         list_ = await FakeDiscovery().start()
@@ -72,8 +72,8 @@
     run_test(go())
 
 
-def test_as_the_deploy_file_starts_it_sighup_ends_nothing_before_the_program_has_begun(tmp_path, monkeypatch):
-    """The shell of `run` has it ignored by then; the configuration is read afterwards."""
+def test_started_by_the_deploy_file_it_survives_sighup_before_the_program_has_begun(tmp_path, monkeypatch):
+    """The shell command of `run` ignores SIGHUP before it starts the program, which reads its configuration later."""
     run = re.search(r'(?m)^run = "([^"]*)"', (ROOT / "deploy/balancer.toml").read_text())[1]
     run = run.replace(".venv/bin/python", shlex.quote(sys.executable))
     start = subprocess.Popen
@@ -83,7 +83,7 @@
         first, second = await FakeDiscovery().start(), await FakeDiscovery().start()
         gateway = Process(tmp_path, first.address, [], 128)
         try:
-            await until(lambda: has_sighup(gateway, "SigIgn") or has_sighup(gateway, "SigCgt"), 10.0)
+            await until(lambda: sighup_is_in(gateway, "SigIgn") or sighup_is_in(gateway, "SigCgt"), 10.0)
             move_discovery(tmp_path, first, second)
             gateway.child.send_signal(signal.SIGHUP)
             assert (await gateway.ask(HEALTH)).status == 200
