--- a/tests/platform/test_sent_ahead.py
+++ b/tests/platform/test_sent_ahead.py
@@ -1,4 +1,4 @@
-"""Requests that a client sends before it has the answer to the one before them: each has its own time and answer."""
+"""Pipelined requests: each has its own time, from its arrival, and its own answer."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 from tansykeel.platform import program
 
-SLACK = 0.15  # seconds by which the time told to a store may be over what the client has left
+SLACK = 0.15  # seconds by which the time sent to a store may exceed what the client has left
 
 
 class SlowStore(FakeStore):
-    """Answers after a while; notes when each request came and what time it was told."""
+    """Answers after `seconds`. Records when each request arrived and the remaining time that it was sent."""
 
     def __init__(self, name, shard, seconds):
         super().__init__(name, shard, lambda request: None)
-        self.seconds, self.told = seconds, {}
+        self.seconds, self.arrivals = seconds, {}
 
-    def _note(self, request, writer):
-        self.told[request.fields[b"x-txn"]] = (time.monotonic(), float(request.fields[b"x-remaining"]))
+    def _record(self, request, writer):
+        self.arrivals[request.fields[b"x-txn"]] = (time.monotonic(), float(request.fields[b"x-remaining"]))
         asyncio.get_running_loop().call_later(self.seconds, writer.write, ok())
 
     async def talk(self, reader, writer):
-        self.reply = lambda request: self._note(request, writer)
+        self.reply = lambda request: self._record(request, writer)
         await super().talk(reader, writer)
 
 
 @pytest.mark.parametrize("service_time", [0.4, 0.8])
-def test_a_request_that_waited_behind_another_tells_its_store_the_time_that_is_left(tmp_path, service_time):
+def test_a_store_is_sent_the_time_that_is_left_of_a_request_that_waited_behind_another(tmp_path, service_time):
     async def go():
         store = SlowStore("s0", 0, service_time)
         async with staged(tmp_path, store) as stage:
@@ -40,16 +40,16 @@
             statuses = [(await client.answer()).status for _ in range(3)]
             assert statuses[0] == 200 and time.monotonic() - sent < 1.0 + 0.1
             late = {
-                id: told - (sent + 1.0 - came)
-                for id, (came, told) in store.told.items()
-                if told > sent + 1.0 - came + SLACK
+                id: left - (sent + 1.0 - arrived)
+                for id, (arrived, left) in store.arrivals.items()
+                if left > sent + 1.0 - arrived + SLACK
             }
             assert not late
 
     run_test(go())
 
 
-def test_one_whose_time_is_up_before_its_turn_is_answered_and_not_sent(tmp_path):
+def test_a_request_that_times_out_before_its_turn_is_answered_and_not_sent(tmp_path):
     async def go():
         store = SlowStore("s0", 0, 0.6)
         async with staged(tmp_path, store) as stage:
@@ -57,15 +57,13 @@
             client.writer.write(request_bytes(1, x_remaining="1.0") + request_bytes(2, x_remaining="0.5"))
             assert (await client.answer()).status == 200
             assert (await client.answer()).status == 503
-            assert len(store.told) == 1
+            assert len(store.arrivals) == 1
 
     run_test(go())
 
 
 @pytest.mark.parametrize("moment", ["serving", "ended"])
-def test_requests_that_were_read_behind_the_last_answer_of_a_gateway_that_ends_are_answered(
-    tmp_path, monkeypatch, moment
-):
+def test_pipelined_requests_that_a_stopping_gateway_has_read_are_answered(tmp_path, monkeypatch, moment):
     monkeypatch.setattr(program, "MAX_COUNTED_DEADLINE", 0.5)
     monkeypatch.setattr(program, "KILL_DELAY", 2.0)
 
@@ -80,7 +78,7 @@
             answers = [await client.answer() for _ in range(4)]
             statuses = [answer and answer.status for answer in answers]
             assert statuses[0] == (200 if moment == "serving" else 503)
-            assert set(statuses[1:]) <= {200, 503}  # which of them is for the scheduler to say
+            assert set(statuses[1:]) <= {200, 503}  # the scheduler decides which
             assert not answers[-1].lasts
             assert await client.ended()
 
@@ -88,12 +86,12 @@
 
 
 def test_a_request_behind_one_with_more_time_is_answered_in_time(tmp_path):
-    """Answers go in order, so one whose time is short waits for the one before it, which a store that hangs keeps open.
+    """Answers are sent in order, so a request with little time waits for the one before it, whose store hangs.
 
-    Found by the soak's seed 2047: a write with 2.5 s, a read with 2.0 s and a request with 1.5 s sent together; the
-    store of the first hung; it was answered after 2.4 s and the other two then, 0.4 s and 0.9 s after their time.
+    Found by the soak with seed 2047: a write with 2.5 s, a read with 2.0 s and a request with 1.5 s were pipelined, and
+    the first one's store hung. It was answered after 2.4 s, and the other two then: 0.4 s and 0.9 s too late.
     """
-    answer_grace = 0.5  # seconds after its time in which an answer is only worth nothing
+    answer_grace = 0.5  # seconds after its time in which an answer is worth nothing but breaks no rule
 
     async def go():
         store = FakeStore("s0", 0, lambda request: None)
