--- a/tests/platform/test_event_counts.py
+++ b/tests/platform/test_event_counts.py
@@ -1,4 +1,4 @@
-"""What the log tells of why connections end, attempts are repeated and requests rejected."""
+"""Counts by cause of ended connections, retries and rejections, and the trace of a request."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from platform_stage import FakeStore, ok, run_test, staged, until
 
 
-def test_ends_retries_and_rejections_are_counted_by_reason(tmp_path):
+def test_ended_connections_retries_and_rejections_are_counted_by_cause(tmp_path):
     answers = iter([b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", ok(), None])
 
     async def go():
         async with staged(tmp_path, FakeStore("s0", 0, lambda request: next(answers))) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
-            client, silent = await stage.client(), await stage.client()
+            client, idle = await stage.client(), await stage.client()
             assert (await client.ask(1)).status == 200
             assert (await client.ask(2, x_remaining="0.4")).status == 503
             client.writer.transport.abort()
-            assert (await silent.answer()).status == 408
-            silent.writer.close()
+            assert (await idle.answer()).status == 408
+            idle.writer.close()
             await until(lambda: not stage.gateway.clients.conns)
             counts = stage.gateway.counts
             assert counts.retries == {"error": 1}
@@ -29,7 +29,7 @@
     run_test(go())
 
 
-def test_a_trace_follows_a_request_by_its_id(tmp_path):
+def test_the_trace_has_every_event_of_a_request_with_its_id(tmp_path):
     lines = []
 
     async def go():
