--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -1,4 +1,4 @@
-"""The platform's gateway in the test's own loop, with stand-ins for its stores, discovery and clients around it."""
+"""A platform gateway in the test's own event loop, with fake stores and discovery, and plain clients."""
 
 from __future__ import annotations
 
@@ -36,11 +36,12 @@
 
 
 def ok(body=b"data", fields=b""):
+    """Return the bytes of a store's answer 200."""
     return b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (fields, len(body), body)
 
 
 class FakeServer:
-    """A server whose `talk(reader, writer)` runs for each connection."""
+    """A server that runs `talk(reader, writer)` of its subclass for each connection."""
 
     async def start(self):
         self.writers = []
@@ -61,7 +62,7 @@
 
 
 class FakeStore(FakeServer):
-    """A store; `reply(request)` gives the bytes to answer with, None to say nothing, b'' to reset."""
+    """A store. `reply(request)` returns the bytes to answer with, None for no answer, b'' to reset the connection."""
 
     def __init__(self, name, shard, reply=lambda request: ok()):
         self.name, self.shard, self.reply = name, shard, reply
@@ -80,6 +81,7 @@
                     writer.write(answer)
 
     def row(self, **changes):
+        """Return the store's object in discovery's list."""
         return {
             "id": self.name,
             "host_port": self.address,
@@ -93,13 +95,15 @@
 
 
 class FakeDiscovery(FakeServer):
-    """Discovery; `send_update` sends an object to all watches. `mute` says, for one watch after another, where each
-    falls silent: "connect", "head", "object" (in the middle of one), "empty" (after an empty line). `drip(text)` says
-    more to those. "end" ends one at once."""
+    """The discovery service. `send_update` sends an object to all watches.
+
+    `mute` says, for one watch after another, after what each falls silent: "connect", "head", "object" (in the middle
+    of one), "empty" (an empty line). `drip(text)` sends more to those. "end" closes the watch at once.
+    """
 
     def __init__(self, mute=(), indent=None):
         self.mute, self.indent = list(mute), indent
-        self.revision, self.rows, self.watch_requests, self.muted = 5, [], [], set()
+        self.revision, self.rows, self.watch_requests, self.muted = 5, [], [], set()  # muted: writers of silent watches
 
     async def talk(self, reader, writer):
         head = await reader.readuntil(b"\r\n\r\n")
@@ -119,14 +123,17 @@
         await reader.read()
 
     def drip(self, text):
+        """Send bytes to the silent watches."""
         for writer in self.muted:
             writer.write(b"%x\r\n%s\r\n" % (len(text), text))
 
     def text(self, rows, full):
-        what = {"revision": self.revision, "complete": full, "members": rows}
-        return json.dumps(what, indent=self.indent).encode() + b"\n"
+        """Return the line for a list of rows, `full` or a change."""
+        message = {"revision": self.revision, "complete": full, "members": rows}
+        return json.dumps(message, indent=self.indent).encode() + b"\n"
 
     def send_update(self, rows, full=False):
+        """Send the rows as the next revision to all watches that are not silent."""
         self.revision += 1
         text = self.text(rows, full)
         for writer in self.writers:
@@ -136,13 +143,13 @@
 
 
 class ClientConnection:
-    """A client's connection."""
+    """A client's connection to the gateway."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer, self.rest = reader, writer, bytearray()
 
     async def answer(self):
-        """The next answer; None where the connection ends without one."""
+        """Return the next answer, None if the connection ends without one."""
         while not (head := re.search(rb"(?s)^.*?Content-Length: (\d+)\r\n(?:[^\r\n]+\r\n)*\r\n", self.rest)) or len(
             self.rest
         ) < head.end() + int(head[1]):
@@ -153,22 +160,25 @@
             if not data:
                 return None
             self.rest += data
-        whole = codec.AnswerReader()
-        whole.feed(bytes(self.rest[: head.end() + int(head[1])]))
+        answers = codec.AnswerReader()
+        answers.feed(bytes(self.rest[: head.end() + int(head[1])]))
         del self.rest[: head.end() + int(head[1])]
-        return whole.next()
+        return answers.next()
 
     async def ended(self):
+        """Whether the connection ends without further bytes."""
         with suppress(OSError):
             return await self.reader.read(1) == b""
         return True
 
     async def ask(self, *arguments, **changes):
+        """Send a request, as `request_bytes` makes it, and return its answer."""
         self.writer.write(request_bytes(*arguments, **changes))
         return await self.answer()
 
 
 def request_bytes(id=1, method=b"GET", body=b"", path=b"/api/" + VOLUME + b"/" + DATA, **changes):
+    """Return the bytes of a request, a write if it has a body. `changes`: header fields, None to leave one out."""
     fields = {
         "host": "origin.svc",
         "x-txn": f"{id:016x}",
@@ -185,13 +195,15 @@
 
 
 class Stage:
+    """A running gateway, its fake discovery, and the clients that a test opens."""
+
     def __init__(self, gateway, list_, path):
         self.gateway, self.list, self.path = gateway, list_, path
         self.port = 0
-        self.askers = []
+        self.connections = []
 
     async def connected_socket(self, receive=0):
-        """A client's bare socket, for who reads an exact number of bytes; `receive`: its receive buffer."""
+        """Return a client's socket, for tests that read an exact number of bytes. `receive`: its receive buffer."""
         sock = socket.socket()
         if receive:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive)
@@ -200,12 +212,14 @@
         return sock
 
     async def client(self, receive=0):
-        asker = ClientConnection(*await asyncio.open_connection(sock=await self.connected_socket(receive)))
-        self.askers.append(asker)
-        return asker
+        """Open a client's connection. `receive`: the size of its receive buffer."""
+        connection = ClientConnection(*await asyncio.open_connection(sock=await self.connected_socket(receive)))
+        self.connections.append(connection)
+        return connection
 
 
 def configuration(tmp_path: Path, discovery: str, known=(), **changes):
+    """Write a configuration file and return its path."""
     file = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -222,7 +236,8 @@
 
 @asynccontextmanager
 async def staged(tmp_path, *stores, list_=None, known=True, **changes):
-    """`known`: whether the configuration knows the stores, or a dict of how they were otherwise then."""
+    """Run a gateway with these stores. `known`: whether the configuration's list has them, or a dict of the fields that
+    differ in it."""
     list_ = await (list_ or FakeDiscovery()).start()
     for store in stores:
         await store.start()
@@ -239,8 +254,8 @@
         yield stage
     finally:
         stage.serving.cancel()
-        for asker in stage.askers:
-            asker.writer.transport.abort()
+        for connection in stage.connections:
+            connection.writer.transport.abort()
         for client in list(gateway.clients.conns):
             client.close(ClientEnd.GATEWAY_ENDS)
         gateway.discovery.end()
@@ -253,27 +268,30 @@
 
 
 def no_descriptors(monkeypatch, module, times):
-    """The next `times` sockets that the module opens find no descriptor; the list of those, as they are refused."""
-    refused, opened = [], module.open_socket
+    """Let the next `times` calls of the module's `open_socket` fail with EMFILE. Return the list of their addresses."""
+    failed, open_socket = [], module.open_socket
 
-    def none_left(address):
-        if len(refused) < times:
-            refused.append(address)
+    def open_failing(address):
+        if len(failed) < times:
+            failed.append(address)
             raise OSError(errno.EMFILE, "no descriptor")
-        return opened(address)
+        return open_socket(address)
 
-    monkeypatch.setattr(module, "open_socket", none_left)
-    return refused
+    monkeypatch.setattr(module, "open_socket", open_failing)
+    return failed
 
 
-async def until(so, seconds=5.0):
+async def until(condition, seconds=5.0):
+    """Wait until `condition()` holds; fail after `seconds`."""
     end = time.monotonic() + seconds
-    while not so():
-        assert time.monotonic() < end, "it did not come to be so"
+    while not condition():
+        assert time.monotonic() < end, "the condition did not hold in time"
         await asyncio.sleep(0.005)
 
 
 def run_test(coroutine, seconds=20):
+    """Run a test's coroutine; fail if it takes longer than `seconds`."""
+
     async def bounded():
         async with asyncio.timeout(seconds):
             await coroutine
