--- a/tests/platform_process.py
+++ b/tests/platform_process.py
@@ -1,4 +1,4 @@
-"""A gateway as the platform starts it: a process with its limit of descriptors and what it wrote to its log."""
+"""A gateway in a process of its own, as the platform starts it, with a limit of descriptors and its log in a file."""
 
 from __future__ import annotations
 
@@ -21,14 +21,17 @@
 
 
 def free_port():
+    """Return a port that is free now."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()[1]
 
 
 class Process:
+    """A gateway's process."""
+
     def __init__(self, tmp_path, discovery, stores, sockets, stdout=-1, **changes):
-        """`stdout`: a descriptor, None for a closed one, -1 for the file that `said` reads."""
+        """Start the process. `stdout`: a descriptor, None for a closed one, -1 for the file that `said` reads."""
         self.port, self.log = free_port(), (tmp_path / "log").open("w+")
         configuration(
             tmp_path,
@@ -54,7 +57,7 @@
             os.close(1)
 
     async def ask(self, data, seconds=10.0):
-        """One answer on a new connection, which is tried until it comes up."""
+        """Send `data` on a new connection and return the answer; on failures, try again for `seconds`."""
         loop, end = asyncio.get_running_loop(), time.monotonic() + seconds
         while True:
             sock = socket.socket()
@@ -77,19 +80,23 @@
             await asyncio.sleep(0.02)
 
     def processor_s(self):
+        """Return the processor time used so far, in seconds."""
         fields = Path(f"/proc/{self.child.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS
 
     def descriptors(self):
+        """Return the number of open descriptors."""
         return len(os.listdir(f"/proc/{self.child.pid}/fd"))
 
     def said(self):
+        """Return what the process has written to its log and to standard error."""
         self.log.seek(0)
         return self.log.read()
 
 
 @asynccontextmanager
 async def process(tmp_path, discovery, stores=(), sockets=128, **changes):
+    """Run a gateway's process for the body."""
     made = Process(tmp_path, discovery, stores, sockets, **changes)
     try:
         yield made
