--- a/tests/platform/test_sent_ahead.py
+++ b/tests/platform/test_sent_ahead.py
@@ -91,7 +91,7 @@
     Found by the soak with seed 2047: a write with 2.5 s, a read with 2.0 s and a request with 1.5 s were pipelined, and
     the first one's store hung. It was answered after 2.4 s, and the other two then: 0.4 s and 0.9 s too late.
     """
-    answer_grace = 0.5  # seconds after its time in which an answer is worth nothing but breaks no rule
+    answer_grace = 0.5  # seconds after its time in which an answer counts as worth nothing; a later one is a failure
 
     async def go():
         store = FakeStore("s0", 0, lambda request: None)
