--- a/tests/platform_stage.py
+++ b/tests/platform_stage.py
@@ -254,8 +254,8 @@
         yield stage
     finally:
         stage.serving.cancel()
-        for connection in stage.connections:
-            connection.writer.transport.abort()
+        for client_connection in stage.connections:
+            client_connection.writer.transport.abort()
         for client in list(gateway.clients.conns):
             client.close(ClientEnd.GATEWAY_ENDS)
         gateway.discovery.end()
