--- a/tansykeel/platform/periodic_checks.py
+++ b/tansykeel/platform/periodic_checks.py
@@ -67,7 +67,7 @@
                 await asyncio.sleep(READ_FIRST)
             self.gateway.stalls.beat(self.now())
             for look in (
-                gateway.clients.check_timeouts,
+                gateway.clients.look,
                 gateway.stores.look,
                 gateway.discovery.look,
                 self._answer_overdue,
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -275,9 +275,9 @@
             clients: Clients = stage.gateway.clients
             first = await stage.client()
             assert (await first.ask(1)).status == 200
-            clients.check_timeouts()
+            clients.look()
             await asyncio.sleep(0.1)
-            clients.check_timeouts()
+            clients.look()
             assert len(clients.conns) == 1  # not crowded yet
             clients.max_connections = 8
             for id in range(2, 4):
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -30,7 +30,7 @@
             clients.make_room()
             assert not clients.close_one_for_descriptor()
             clients.close_idle()
-            clients.check_timeouts()
+            clients.look()
             slow.writer.transport.resume_reading()
             assert len((await slow.answer()).body) == 1_000_000
             await until(lambda: clients.close_one_for_descriptor() or not clients.conns)
@@ -65,7 +65,7 @@
             now = clients.now()
             clients.now, late, read = (lambda: now), 0, b""
             client.since = now
-            clients.check_timeouts()
+            clients.look()
             for _ in range(4):
                 now += 4.0
                 left = len(client.stream.unsent)
@@ -73,7 +73,7 @@
                     read += await read_part(slow, 100_000)
                     await until(lambda left=left: len(client.stream.unsent) < left)
                     assert client.stream.unsent, "the answer has to be under way at each look"
-                clients.check_timeouts()
+                clients.look()
                 late += client.stream.closed
             assert (late > 0) is not reads
             if reads:
