--- a/tests/platform/test_final_answers.py
+++ b/tests/platform/test_final_answers.py
@@ -32,8 +32,8 @@
     run_test(go())
 
 
-@pytest.mark.parametrize("part, check", [("clients", "check_timeouts"), ("stores", "look"), ("discovery", "look")])
-def test_a_check_that_fails_is_run_again_and_the_others_go_on(tmp_path, monkeypatch, part, check):
+@pytest.mark.parametrize("part", ["clients", "stores", "discovery"])
+def test_a_check_that_fails_is_run_again_and_the_others_go_on(tmp_path, monkeypatch, part):
     async def go():
         async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
@@ -43,7 +43,7 @@
                 calls.append(part)
                 raise ArithmeticError("planted")
 
-            monkeypatch.setattr(checked, check, fails)
+            monkeypatch.setattr(checked, "look", fails)
             await until(lambda: len(calls) > 2)
             idle = await stage.client()
             if part != "clients":
