--- a/tests/platform/test_held_up.py
+++ b/tests/platform/test_held_up.py
@@ -116,9 +116,8 @@
 
     async def go():
         async with one_gateway(tmp_path) as (gateway, store, _):
-            clients = [
-                await Client().connect(gateway) for _ in range(40)
-            ]  # so crowded that connections idle for 2 s are closed
+            # So many that the gateway is crowded and closes connections that are idle for 2 s.
+            clients = [await Client().connect(gateway) for _ in range(40)]
             for id, client in enumerate(clients, 10):
                 client.writer.write(request_bytes(id))
             assert all([await client.answer() for client in clients])
