--- a/tansykeel/platform/request_rules.py
+++ b/tansykeel/platform/request_rules.py
@@ -13,8 +13,8 @@
 from tansykeel.edge.tasks import Attempt, HeldTask
 from tansykeel.interface import Allowed, Repeat, State
 
-# Ticks (tenths of a millisecond) after a task's deadline at which it must have its answer. The deadline is up to 0.1 s,
-# which is as much, before its client's.
+# Ticks (tenths of a millisecond) after a task's deadline at which it must have its answer. The deadline is up to 0.1 s
+# before its client's (`intake.DEADLINE_MARGIN`).
 OVERDUE_MARGIN = 1_000
 MAX_LOGGED = 20  # violations of one invariant that are logged; all are counted
 
