--- a/tansykeel/platform/periodic_checks.py
+++ b/tansykeel/platform/periodic_checks.py
@@ -16,7 +16,7 @@
 from tansykeel.platform.discovery import Discovery
 from tansykeel.platform.event_counts import EventCounts
 from tansykeel.platform.request_rules import Invariant, Violations, is_overdue
-from tansykeel.platform.stall_detector import MARGIN, StallDetector
+from tansykeel.platform.stall_detector import BEAT_TOLERANCE, StallDetector
 from tansykeel.platform.stores import Stores
 
 CHECK_INTERVAL = 0.25  # seconds between rounds of checks
@@ -63,7 +63,7 @@
             due = self.now() + CHECK_INTERVAL
             await asyncio.sleep(CHECK_INTERVAL)
             max_lateness = max(max_lateness, self.now() - due)
-            if self.now() - due > MARGIN:
+            if self.now() - due > BEAT_TOLERANCE:
                 # The process was stalled: let the event loop read what arrived meanwhile before anything times out.
                 await asyncio.sleep(READ_DELAY)
             self.gateway.stalls.beat(self.now())
--- a/tansykeel/platform/stores.py
+++ b/tansykeel/platform/stores.py
@@ -101,7 +101,7 @@
 
     def free_descriptors(self) -> None:
         """Close idle connections because the process is out of file descriptors."""
-        self.clients.make_place()
+        self.clients.close_one_for_descriptor()
         for pool in self.pools.values():
             pool.close_idle(StoreConnectionEnd.ROOM)
 
@@ -131,7 +131,9 @@
     def held_bytes(self) -> int:
         """Return the size of all answers that are incomplete or that clients have not read yet."""
         connections = (connection for pool in self.pools.values() for connection in pool.connections)
-        return self.clients.unsent() + sum(connection.reader.size for connection in connections if connection.reader)
+        return self.clients.unsent_bytes() + sum(
+            connection.reader.size for connection in connections if connection.reader
+        )
 
     def answers_exceed_memory(self) -> bool:
         """Whether the answers in memory exceed `max_answer_bytes`."""
--- a/tests/platform/test_clock_steps.py
+++ b/tests/platform/test_clock_steps.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from platform_stage import SETTINGS, Store, play, staged, until
+from platform_stage import SETTINGS, FakeStore, run_test, staged, until
 
 WARM_AFTER = 17.0  # seconds
 SLOW_START_SETTINGS = SETTINGS | {
@@ -32,16 +32,16 @@
 @pytest.mark.parametrize("age", [0.2, 2.0])
 def test_a_start_reported_after_a_clock_step_has_its_real_age(tmp_path, monkeypatch, step, age):
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         async with staged(tmp_path, store, settings=SLOW_START_SETTINGS) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             real = step_wall_clock(monkeypatch, step)
-            stage.list.tell([store.row(up_since_ms=(real() - age) * 1000)])
+            stage.list.send_update([store.row(up_since_ms=(real() - age) * 1000)])
             await until(lambda: stage.gateway.core.list_version == 6)
             stage.gateway.core.run_timers(stage.gateway.stores.clock())
             assert 0 <= age_in_seconds(stage, "s0") <= age + 0.5
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -49,30 +49,30 @@
     """A forward step made the second start look older than the first, so that it was ignored."""
 
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         store.since = (time.time() - 10) * 1000
         async with staged(tmp_path, store, settings=SLOW_START_SETTINGS) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             assert 9.5 < age_in_seconds(stage, "s0") < 11.5
             real = step_wall_clock(monkeypatch, step)
-            stage.list.tell([store.row(up_since_ms=(real() - 0.3) * 1000)])
+            stage.list.send_update([store.row(up_since_ms=(real() - 0.3) * 1000)])
             await until(lambda: stage.gateway.core.list_version == 6)
             assert 0 <= age_in_seconds(stage, "s0") <= 1.0
 
-    play(go())
+    run_test(go())
 
 
 def test_a_clock_that_was_ahead_at_the_start_is_detected_by_a_start_that_is_new_in_the_list(tmp_path, monkeypatch):
     """The list did not have that start a moment ago, so it can't be an hour old."""
 
     async def go():
-        store = Store("s0", 0)
+        store = FakeStore("s0", 0)
         real = step_wall_clock(monkeypatch, 3600.0)
         async with staged(tmp_path, store, settings=SLOW_START_SETTINGS) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             await asyncio.sleep(0.2)
-            stage.list.tell([store.row(up_since_ms=real() * 1000)])
+            stage.list.send_update([store.row(up_since_ms=real() * 1000)])
             await until(lambda: stage.gateway.core.list_version == 6)
             assert 0 <= age_in_seconds(stage, "s0") <= 3.0
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_epoll_failures.py
+++ b/tests/platform/test_epoll_failures.py
@@ -24,7 +24,7 @@
 
 import pytest
 from platform_process import free_port
-from platform_stage import List, Store, asking, configuration, play, staged, until
+from platform_stage import FakeDiscovery, FakeStore, configuration, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.transport.epoll_selector import RetryingEpollSelector
@@ -81,7 +81,7 @@
     clients = open_clients(port, count)
     time.sleep(ACCEPTED_WITHIN)
     for number, client in enumerate(clients, 1):
-        client.sendall(asking(number))
+        client.sendall(request_bytes(number))
     statuses = [status_of_answer(client) for client in clients]
     for client in clients:
         client.close()
@@ -90,7 +90,7 @@
 
 def test_a_descriptor_that_epoll_rejects_affects_no_other_client(tmp_path):
     async def go():
-        store, list_ = await Store("s0", 0).start(), await List().start()
+        store, list_ = await FakeStore("s0", 0).start(), await FakeDiscovery().start()
         list_.rows.append(store.row())
         port = free_port()
         limits = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
@@ -111,7 +111,7 @@
             for part in (store, list_):
                 await part.stop()
 
-    play(go())
+    run_test(go())
 
 
 class FailingEpoll:
@@ -208,7 +208,7 @@
     epoll = FailingEpoll(failure, every=3)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             for turn in range(5):
                 clients = [await stage.client() for _ in range(8)]
--- a/tests/platform/test_final_answers.py
+++ b/tests/platform/test_final_answers.py
@@ -1,27 +1,27 @@
-"""What fails within the gateway frees no request of its final answer, and is counted."""
+"""After an internal failure each request still gets its final answer, and the failure is counted."""
 
 from __future__ import annotations
 
 import asyncio
 
 import pytest
-from platform_stage import Store, asking, play, staged, until
+from platform_stage import FakeStore, request_bytes, run_test, staged, until
 
 from tansykeel.brain import Scheduler
 
 
-def test_a_task_whose_decision_fails_is_answered_in_time(tmp_path, monkeypatch):
+def test_a_task_whose_decision_raises_is_answered_in_time(tmp_path, monkeypatch):
     decide = Scheduler.serve
 
-    def fails_at_its_turn(self, task):
+    def fail_after_first_decision(self, task):
         run = decide(self, task)
         yield next(run)
         raise ArithmeticError("planted")
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
-            monkeypatch.setattr(Scheduler, "serve", fails_at_its_turn)
+            monkeypatch.setattr(Scheduler, "serve", fail_after_first_decision)
             client = await stage.client()
             async with asyncio.timeout(1.0):
                 assert (await client.ask(1, x_remaining="0.6")).status in (500, 503)
@@ -29,46 +29,46 @@
             monkeypatch.setattr(Scheduler, "serve", decide)
             assert (await client.ask(2)).status == 200
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("part", ["clients", "stores", "discovery"])
-def test_a_look_that_fails_is_not_the_last_one(tmp_path, monkeypatch, part):
+def test_a_check_that_fails_is_run_again_and_the_others_go_on(tmp_path, monkeypatch, part):
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
-            looked_at, looks = getattr(stage.gateway, part), []
+            checked, calls = getattr(stage.gateway, part), []
 
             def fails():
-                looks.append(part)
+                calls.append(part)
                 raise ArithmeticError("planted")
 
-            monkeypatch.setattr(looked_at, "look", fails)
-            await until(lambda: len(looks) > 2)
-            silent = await stage.client()
+            monkeypatch.setattr(checked, "look", fails)
+            await until(lambda: len(calls) > 2)
+            idle = await stage.client()
             if part != "clients":
-                assert (await silent.answer()).status == 408
+                assert (await idle.answer()).status == 408
 
-    play(go())
+    run_test(go())
 
 
-def test_room_that_comes_free_goes_to_the_next_pool_where_the_first_needs_none(tmp_path):
-    """Two pools wait for room; the first one's attempt is over by the time that a connection is closed."""
+def test_a_freed_connection_goes_to_the_next_waiting_pool_if_the_first_needs_none(tmp_path):
+    """Two pools wait to open a connection. The first one's client disconnects before a connection is closed."""
 
     async def go():
-        held, wants, gone = Store("s0", 0, lambda request: None), Store("s1", 1), Store("s2", 2)
-        async with staged(tmp_path, held, wants, gone) as stage:
+        held, waiting, unused = FakeStore("s0", 0, lambda request: None), FakeStore("s1", 1), FakeStore("s2", 2)
+        async with staged(tmp_path, held, waiting, unused) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             stage.gateway.stores.max_connections = 1
             first, left, last = [await stage.client() for _ in range(3)]
-            first.writer.write(asking(1, x_remaining="0.8"))
-            await until(lambda: held.got)
-            left.writer.write(asking(2, x_extent="units=2,shard=2,hosts=1"))
+            first.writer.write(request_bytes(1, x_remaining="0.8"))
+            await until(lambda: held.requests)
+            left.writer.write(request_bytes(2, x_extent="units=2,shard=2,hosts=1"))
             await until(lambda: stage.gateway.stores.has_waiting())
-            last.writer.write(asking(3, x_extent="units=2,shard=1,hosts=1"))
+            last.writer.write(request_bytes(3, x_extent="units=2,shard=1,hosts=1"))
             await until(lambda: len(stage.gateway.stores._waiting_for_room) == 2)
             left.writer.transport.abort()
             async with asyncio.timeout(1.5):
                 assert (await last.answer()).status == 200
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_log_output.py
+++ b/tests/platform/test_log_output.py
@@ -1,4 +1,4 @@
-"""A log that nobody reads: standard output is full, broken or closed, and service goes on as before."""
+"""The gateway serves as usual while its standard output is full, broken or closed."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 import pytest
 from platform_process import HEALTH, Process
-from platform_stage import List, Store, asking, ok, play, until
+from platform_stage import FakeDiscovery, FakeStore, ok, request_bytes, run_test, until
 
 ONE_PAGE = 4096  # bytes
 
 
 class UnreadLog:
-    """The write end of a pipe that a gateway gets as its standard output."""
+    """A pipe whose write end a gateway gets as its standard output. `kind`: "stalled" for a full pipe, "gone" for one
+    whose read end is closed; "closed" is left to the caller."""
 
     def __init__(self, kind):
         self.read_end, self.write_end = os.pipe()
@@ -33,6 +34,7 @@
             os.close(self.read_end)
 
     def read(self):
+        """Return what the pipe holds."""
         os.set_blocking(self.read_end, False)
         text = b""
         with suppress(BlockingIOError):
@@ -55,18 +57,18 @@
 
 
 @pytest.mark.parametrize("kind", ["gone", "stalled", "closed"])
-def test_requests_held_at_the_end_are_answered_though_nobody_reads_the_log(tmp_path, kind):
+def test_tasks_held_at_the_stop_are_answered_while_the_log_is_not_read(tmp_path, kind):
     async def go():
-        store = Store("s0", 0, lambda request: None if request.target.endswith(b"ff") else ok())
+        store = FakeStore("s0", 0, lambda request: None if request.target.endswith(b"ff") else ok())
         await store.start()
-        list_ = await List().start()
+        list_ = await FakeDiscovery().start()
         list_.rows = [store.row()]
         async with process_with(tmp_path, kind, list_.address, [store]) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
-            assert (await gateway.ask(asking(1))).status == 200
+            assert (await gateway.ask(request_bytes(1))).status == 200
             path = b"/api/00000003b4d60021/00000000000000ff"
-            held = [asyncio.create_task(gateway.ask(asking(id, path=path))) for id in (2, 3, 4)]
-            await until(lambda: len(store.got) >= 4)
+            held = [asyncio.create_task(gateway.ask(request_bytes(id, path=path))) for id in (2, 3, 4)]
+            await until(lambda: len(store.requests) >= 4)
             gateway.child.send_signal(signal.SIGTERM)
             answers = await asyncio.gather(*held)
             assert [answer.status for answer in answers] == [503] * 3
@@ -75,24 +77,24 @@
         await store.stop()
         await list_.stop()
 
-    play(go())
+    run_test(go())
 
 
-def test_a_reader_that_comes_back_finds_whole_lines_and_how_many_are_missing(tmp_path):
+def test_a_reader_that_returns_gets_whole_lines_and_the_number_of_lost_ones(tmp_path):
     async def go():
-        list_ = await List().start()
+        list_ = await FakeDiscovery().start()
         async with process_with(tmp_path, "stalled", list_.address, []) as gateway:
             assert (await gateway.ask(HEALTH)).status == 200
             gateway.unread.read()
-            until_time = time.monotonic() + 3.0
+            end = time.monotonic() + 3.0
             text = b""
-            while b"\n" not in text.strip() and time.monotonic() < until_time:
-                list_.tell([])
-                list_.tell([{"id": "x", "host_port": "127.0.0.1:1", "cell": 1, "phase": "Ready"}])
+            while b"\n" not in text.strip() and time.monotonic() < end:
+                list_.send_update([])
+                list_.send_update([{"id": "x", "host_port": "127.0.0.1:1", "cell": 1, "phase": "Ready"}])
                 await asyncio.sleep(0.1)
                 text += gateway.unread.read()
             lines = [json.loads(line) for line in text.splitlines() if line]
             assert lines and lines[0]["lines_lost"] >= 1
         await list_.stop()
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_partly_written.py
+++ b/tests/platform/test_partly_written.py
@@ -7,14 +7,14 @@
 import time
 
 import pytest
-from platform_stage import SETTINGS, Store, asking, play, staged, until
+from platform_stage import SETTINGS, FakeStore, request_bytes, run_test, staged, until
 
 SLACK = 0.15  # seconds by which the time left that a store is told may exceed what the client has left
 NO_CANCEL = SETTINGS | {"Limits": SETTINGS["Limits"] | {"Cancel": False}}
 BODY = b"x" * 60_000
 
 
-class SlowReadingStore(Store):
+class SlowReadingStore(FakeStore):
     """Reads nothing for some seconds; records when each request was complete and the time left that it stated."""
 
     def __init__(self, name, shard, seconds):
@@ -58,7 +58,7 @@
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             sent = time.monotonic()
-            client.writer.write(asking(1, body=BODY, x_remaining="2.0"))
+            client.writer.write(request_bytes(1, body=BODY, x_remaining="2.0"))
             answer = await client.answer()
             assert answer and answer.status in (200, 503)
             await asyncio.sleep(0.2)
@@ -69,7 +69,7 @@
             ]
             assert not too_long
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("settings", [SETTINGS, NO_CANCEL], ids=["cancel", "no cancel"])
@@ -78,11 +78,11 @@
         store = SlowReadingStore("s0", 0, 0.6)
         async with staged(tmp_path, store, settings=settings) as stage:
             client = await stage.client()
-            client.writer.write(asking(1, body=BODY))
+            client.writer.write(request_bytes(1, body=BODY))
             await until(lambda: stage.gateway.core.counts.hand_offs == 1)
             await asyncio.sleep(0.05)
             client.writer.transport.abort()
             await asyncio.sleep(1.2)
             assert not store.completed
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_second_answers.py
+++ b/tests/platform/test_second_answers.py
@@ -7,7 +7,7 @@
 import random
 
 import pytest
-from platform_stage import SETTINGS, Store, asking, ok, play, staged, until
+from platform_stage import SETTINGS, FakeStore, ok, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform import pool as pool_module
@@ -33,7 +33,7 @@
     return next(found, None)
 
 
-class ManualStore(Store):
+class ManualStore(FakeStore):
     """Answers a received request when `answer(id)` is called, on the connection of that request."""
 
     def __init__(self):
@@ -50,7 +50,7 @@
 async def ask_until_sent(client, store):
     """Ask until the gateway sends to the store again after a timeout; return the request's id and its answer."""
     for id in range(100, 200):
-        client.writer.write(asking(id))
+        client.writer.write(request_bytes(id))
         answered = asyncio.create_task(client.answer())
         await until(lambda id=id, answered=answered: id in store.received or answered.done())
         if id in store.received:
@@ -79,7 +79,7 @@
                 assert (await client.ask(1, x_remaining="0.3")).status in (500, 503)
                 client = await stage.client()
             else:
-                client.writer.write(asking(1))
+                client.writer.write(request_bytes(1))
                 await until(lambda: store.received)
                 client.writer.transport.abort()
                 await until(lambda: stage.gateway.core.counts.left == 1)
@@ -94,7 +94,7 @@
             assert (await answered).body == b"%016x" % id
             assert len(store.writers) == 2
 
-    play(go())
+    run_test(go())
 
 
 def test_an_attempt_that_is_given_up_closes_its_connection_at_once_where_cancels_are_allowed(tmp_path):
@@ -104,14 +104,14 @@
             assert (await (await stage.client()).ask(1, x_remaining="0.3")).status in (500, 503)
             assert not connections(stage)
 
-    play(go())
+    run_test(go())
 
 
 def test_connections_of_a_store_that_answered_twice_cool_down_for_longer(tmp_path):
     """After a second answer that was 40 ms late, the next one may be as late, so connections are reused later."""
 
     async def go():
-        store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
+        store = FakeStore("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
             client, stores, check = await stage.client(), stage.gateway.stores, disable_checks(stage)
             assert (await client.ask(1)).body == b"%016x" % 1
@@ -136,12 +136,12 @@
                 check()
             assert pool.cool_down == pool_module.COOL_DOWN
 
-    play(go())
+    run_test(go())
 
 
 def test_the_cool_down_is_limited_and_per_store(tmp_path):
     async def go():
-        stores = [Store(f"s{number}", number, lambda request: ok(request.fields[b"x-txn"])) for number in (0, 1)]
+        stores = [FakeStore(f"s{number}", number, lambda request: ok(request.fields[b"x-txn"])) for number in (0, 1)]
         async with staged(tmp_path, *stores) as stage:
             client = await stage.client()
             disable_checks(stage)
@@ -155,14 +155,14 @@
             cool_downs = {pool.store.handle: pool.cool_down for pool in stage.gateway.stores.pools.values()}
             assert cool_downs == {"s0": pool_module.MAX_COOL_DOWN, "s1": pool_module.COOL_DOWN}
 
-    play(go())
+    run_test(go())
 
 
 def test_bytes_on_a_new_connection_are_not_a_second_answer(tmp_path):
     """No request was sent on it, so the bytes do not show how late this store's second answers are."""
 
     async def go():
-        store = Store("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
+        store = FakeStore("s0", 0, lambda request: ok(request.fields[b"x-txn"]))
         async with staged(tmp_path, store) as stage:
             client = await stage.client()
             disable_checks(stage)
@@ -174,10 +174,10 @@
             await until(lambda: len(pool.connections) == 1)
             assert pool.cool_down == pool_module.COOL_DOWN
 
-    play(go())
+    run_test(go())
 
 
-class SecondAnswerStore(Store):
+class SecondAnswerStore(FakeStore):
     """Answers each request with its id, and sends second answers in every way that the gateway can detect, chosen at
     random by seed: with the answer, in part, while the connection cools down or is idle, and after an answer that was
     given up.
@@ -206,7 +206,7 @@
             while data := await reader.read(65536):
                 requests.feed(data)
                 while (request := requests.next()) is not None:
-                    self.got.append(request)
+                    self.requests.append(request)
                     if again := self.given_up.pop(writer, None):
                         writer.write(again)
                     self.tasks.add(asyncio.create_task(self.respond(writer, request)))
@@ -273,4 +273,4 @@
             for task in store.tasks:
                 task.cancel()
 
-    play(go(), seconds=60)
+    run_test(go(), seconds=60)
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from platform_stage import Store, asking, ok, play, staged, until
+from platform_stage import FakeStore, ok, request_bytes, run_test, staged, until
 
 from tansykeel.http1 import codec
 from tansykeel.platform.clients import Clients
@@ -15,27 +15,27 @@
 @pytest.mark.parametrize("connection", ["keep-alive", "close"])
 def test_a_client_that_reads_slowly_is_not_closed_before_its_answer_is_complete(tmp_path, monkeypatch, connection):
     """A connection whose answer is not fully written must not be closed to make room: its task would be lost."""
-    monkeypatch.setattr("tansykeel.platform.clients.BRIEF", 0.0)
+    monkeypatch.setattr("tansykeel.platform.clients.EVICTION_GRACE", 0.0)
     monkeypatch.setattr("tansykeel.platform.clients.LINGER", 0.0)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0, lambda request: ok(b"x" * 1_000_000))) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0, lambda request: ok(b"x" * 1_000_000))) as stage:
             clients: Clients = stage.gateway.clients
             slow = await stage.client(receive=4096)
             await until(lambda: clients.conns)
             next(iter(clients.conns)).stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             slow.writer.transport.pause_reading()
-            slow.writer.write(asking(1, connection=connection))
+            slow.writer.write(request_bytes(1, connection=connection))
             await until(lambda: any(client.stream.unsent for client in clients.conns))
             clients.make_room()
-            assert not clients.make_place()
+            assert not clients.close_one_for_descriptor()
             clients.close_idle()
             clients.look()
             slow.writer.transport.resume_reading()
             assert len((await slow.answer()).body) == 1_000_000
-            await until(lambda: clients.make_place() or not clients.conns)
+            await until(lambda: clients.close_one_for_descriptor() or not clients.conns)
 
-    play(go())
+    run_test(go())
 
 
 async def read_part(sock: socket.socket, size: int) -> bytes:
@@ -55,13 +55,13 @@
     """
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0, lambda request: ok(b"x" * 1_000_000))) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0, lambda request: ok(b"x" * 1_000_000))) as stage:
             clients: Clients = stage.gateway.clients
             slow = await stage.connected_socket(receive=4096)
             await until(lambda: clients.conns)
             client = next(iter(clients.conns))
             client.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            slow.send(asking(1))
+            slow.send(request_bytes(1))
             await until(lambda: client.stream.unsent)
             now = clients.now()
             clients.now, closed_count, read = (lambda: now), 0, b""
@@ -82,4 +82,4 @@
                 assert read + await read_part(slow, len(whole) - len(read)) == whole
             slow.close()
 
-    play(go())
+    run_test(go())
--- a/tests/platform/test_system_calls.py
+++ b/tests/platform/test_system_calls.py
@@ -8,7 +8,7 @@
 import socket
 
 import pytest
-from platform_stage import Store, asking, play, staged, until
+from platform_stage import FakeStore, request_bytes, run_test, staged, until
 
 from tansykeel.platform import periodic_checks
 from tansykeel.transport import sockets
@@ -79,7 +79,7 @@
         return await client.ask(id)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             if stopping:
                 stage.gateway.stop()
@@ -87,7 +87,7 @@
             assert [answer and answer.status for answer in answers] == [200] * 40
             assert not stage.gateway.clients.unanswered
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("failure", FAILURES, ids=lambda failure: errno.errorcode[failure])
@@ -149,7 +149,7 @@
     change_accepted(monkeypatch, change)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             clients = [await stage.client() for _ in range(20)]
             for turn in range(3):
@@ -159,7 +159,7 @@
             if failures < 1000:
                 assert all(map(sends_without_delay, accepted))
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("failure", OPTION_FAILURES, ids=lambda failure: errno.errorcode[failure])
@@ -168,7 +168,7 @@
         return with_options_that_fail(socket.socket(), failure, 1)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             monkeypatch.setattr("tansykeel.platform.connection.open_socket", open_failing)
             clients = [await stage.client() for _ in range(6)]
@@ -176,7 +176,7 @@
             assert [answer and answer.status for answer in answers] == [200] * 6
             assert stage.gateway.core.counts.outcomes == {"delivered": 6}
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("call", ["setsockopt", "bind", "listen"])
@@ -238,7 +238,7 @@
     change_accepted(monkeypatch, lambda sock, number: CloseFailingSocket(fileno=sock.detach()))
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             clients = [await stage.client() for _ in range(6)]
             answers = await asyncio.gather(*(client.ask(n) for n, client in enumerate(clients, 1)))
@@ -247,7 +247,7 @@
             assert await stage.serving == 0
             assert len(failures) == 6 and not stage.gateway.clients.conns
 
-    play(go())
+    run_test(go())
 
 
 def test_an_address_in_use_is_reported_at_once():
@@ -262,7 +262,7 @@
     """On EMFILE the gateway closes idle clients, but none that is new or in the middle of a request."""
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             partial, idle = await stage.client(), await stage.client()
             assert (await idle.ask(1)).status == 200
@@ -277,7 +277,7 @@
             assert (await partial.answer()).status == 404
             assert (await new.ask(2)).status == 200
 
-    play(go())
+    run_test(go())
 
 
 def test_a_lack_of_descriptors_closes_one_client_per_iteration(tmp_path, monkeypatch):
@@ -285,7 +285,7 @@
     fail_every_second_accept(monkeypatch, errno.EMFILE)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             idle = [await stage.client() for _ in range(12)]
             for id, client in enumerate(idle, 1):
@@ -299,7 +299,7 @@
             assert ends["room was needed"] - before <= len(burst)
             assert len(stage.gateway.clients.conns) >= len(burst)
 
-    play(go())
+    run_test(go())
 
 
 def test_a_temporary_local_connect_failure_is_no_failure_of_the_store(tmp_path, monkeypatch):
@@ -315,7 +315,7 @@
             return real(self, address)
 
     async def go():
-        async with staged(tmp_path, Store("s0", 0)) as stage:
+        async with staged(tmp_path, FakeStore("s0", 0)) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             monkeypatch.setattr(
                 "tansykeel.platform.connection.open_socket", lambda address: FailingSocket(socket.AF_INET)
@@ -328,7 +328,7 @@
             assert len(connects) > 8
             assert "no connection" not in stage.gateway.core.counts.outcomes
 
-    play(go())
+    run_test(go())
 
 
 @pytest.mark.parametrize("failure", [errno.ETIMEDOUT, errno.EHOSTUNREACH], ids=lambda failure: errno.errorcode[failure])
@@ -355,12 +355,12 @@
     answers = iter([b"HTTP/1.1 200 OK\r\n\r\npart", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"])
 
     async def go():
-        store = Store("s0", 0, lambda request: next(answers))
+        store = FakeStore("s0", 0, lambda request: next(answers))
         async with staged(tmp_path, store) as stage:
             await until(lambda: stage.gateway.core.list_version == 5)
             monkeypatch.setattr("tansykeel.platform.connection.open_socket", open_breaking)
             client = await stage.client()
-            client.writer.write(asking(1))
+            client.writer.write(request_bytes(1))
             await until(lambda: opened and opened[0].has_read)
             for writer in store.writers:
                 writer.write(b" more")  # wakes the event loop, which then finds the failure
@@ -368,4 +368,4 @@
             assert (answer.status, answer.body) == (200, b"whole")
             assert stage.gateway.core.counts.outcomes == {"reset": 1, "delivered": 1}
 
-    play(go())
+    run_test(go())
