--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -38,7 +38,7 @@
 )
 from tansykeel.protocol.frames import LeaseRenewal
 
-ALIKE = (10,)  # tenths that each clock shows in a tenth of time: all agree
+EXACT_CLOCK_RATES = (10,)  # tenths that each clock shows in a tenth of time: all agree
 APART = (11, 9)  # a fast and a slow clock by turns, for terms with a drift of a tenth
 MOST = {"lead": 3, "break": 8, "reopen": 4, "leave": 1}  # of each in one run, beside the bounds of every search
 NODE, GATEWAY = "node", "gateway"  # the ends of a connection
@@ -56,7 +56,7 @@
 class RegionModel(Fleet):
     """A state of the search: nodes, gateways, connections, all that was sent between nodes and granted to gateways."""
 
-    def __init__(self, names: tuple[str, ...], model: ModelTerms, rates: tuple[int, ...] = ALIKE) -> None:
+    def __init__(self, names: tuple[str, ...], model: ModelTerms, rates: tuple[int, ...] = EXACT_CLOCK_RATES) -> None:
         self.model = model
         self.nodes: dict[str, ModelNode] = {}
         self.gateways: dict[str, ModelGateway] = {}
@@ -82,7 +82,7 @@
     def clock(self, name: str) -> int:
         """Return what the clock of a node or a gateway shows; they have the rates by turns."""
         place = (*self.names, *self.model.gateways).index(name)
-        return self.now * TICK // ALIKE[0] * self.rates[place % len(self.rates)]
+        return self.now * TICK // EXACT_CLOCK_RATES[0] * self.rates[place % len(self.rates)]
 
     def key(self) -> tuple[object, ...]:
         """Return all that decides what may happen from here on."""
