--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -39,7 +39,7 @@
 from tansykeel.protocol.frames import LeaseRenewal
 
 EXACT_CLOCK_RATES = (10,)  # tenths that each clock shows in a tenth of time: all agree
-APART = (11, 9)  # a fast and a slow clock by turns, for terms with a drift of a tenth
+DRIFTING_CLOCK_RATES = (11, 9)  # a fast and a slow clock by turns, for terms with a drift of a tenth
 MOST = {"lead": 3, "break": 8, "reopen": 4, "leave": 1}  # of each in one run, beside the bounds of every search
 NODE, GATEWAY = "node", "gateway"  # the ends of a connection
 
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -11,7 +11,7 @@
 from tansykeel.control.budget_agent import BudgetAgent
 from tansykeel.control.budget_state import BudgetState
 from tansykeel.control.entries import BudgetReleased, NodeDemand, decode_entry
-from tansykeel.control.model_checker import APART, NODE
+from tansykeel.control.model_checker import DRIFTING_CLOCK_RATES, NODE
 from tansykeel.control.model_parts import LEASE, ModelMember, ModelNode, ModelTerms
 from tansykeel.control.model_walks import DrawnRun, drawn_runs, settled
 
@@ -95,7 +95,7 @@
 
 
 def test_no_event_order_violates_an_invariant_with_drifting_clocks():
-    first = settled(NAMES, ModelTerms(drift=0.1), APART)
+    first = settled(NAMES, ModelTerms(drift=0.1), DRIFTING_CLOCK_RATES)
     found = drawn_runs(first, Bounds(states=6_000, **ALL), 1)
     assert found.violation == "" and found.states >= 6_000
 
