--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -32,9 +32,9 @@
     Connection,
     GrantMade,
     GrantName,
+    ModelConfig,
     ModelGateway,
     ModelNode,
-    ModelTerms,
 )
 from tansykeel.protocol.frames import LeaseRenewal
 
@@ -56,7 +56,7 @@
 class RegionModel(Fleet):
     """A state of the search: nodes, gateways, connections, all that was sent between nodes and granted to gateways."""
 
-    def __init__(self, names: tuple[str, ...], model: ModelTerms, rates: tuple[int, ...] = EXACT_CLOCK_RATES) -> None:
+    def __init__(self, names: tuple[str, ...], model: ModelConfig, rates: tuple[int, ...] = EXACT_CLOCK_RATES) -> None:
         self.model = model
         self.nodes: dict[str, ModelNode] = {}
         self.gateways: dict[str, ModelGateway] = {}
--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -237,7 +237,7 @@
 
 
 @dataclass(frozen=True)
-class ModelTerms:
+class ModelConfig:
     """How nodes and gateways are made."""
 
     gateways: tuple[str, ...] = ("g", "k")
--- a/tansykeel/control/model_walks.py
+++ b/tansykeel/control/model_walks.py
@@ -15,7 +15,7 @@
 from tansykeel.cluster.model_checker import Bounds, Event, NoFirstView, SearchResult, describe_event, minimize_trace
 from tansykeel.cluster.replicated_log import Propose
 from tansykeel.control.model_checker import EXACT_CLOCK_RATES, GATEWAY, MOST, NODE, RegionModel
-from tansykeel.control.model_parts import REGION_UNITS, ModelTerms
+from tansykeel.control.model_parts import REGION_UNITS, ModelConfig
 
 SETTLING_ROUNDS = 12
 DISRUPTING = ("tick", "crashes", "restarts", "forms", "proposes", "leaves", "reopens", "breaks", "leads")
@@ -34,7 +34,7 @@
 TICKS = (0.2, 0.8)  # chance that time goes on after a round: drawn for each run
 
 
-def settled(names: tuple[str, ...], model: ModelTerms, rates: tuple[int, ...] = EXACT_CLOCK_RATES) -> RegionModel:
+def settled(names: tuple[str, ...], model: ModelConfig, rates: tuple[int, ...] = EXACT_CLOCK_RATES) -> RegionModel:
     """Return a region whose nodes agreed on a first view and whose gateways count by leases.
 
     Raises NoFirstView where that does not come about.
