--- a/tansykeel/cli/control_search.py
+++ b/tansykeel/cli/control_search.py
@@ -28,7 +28,7 @@
     from tansykeel.cluster.model_checker import Bounds, random_runs, search
     from tansykeel.control.model_checker import DRIFTING_CLOCK_RATES, EXACT_CLOCK_RATES
     from tansykeel.control.model_parts import ModelConfig
-    from tansykeel.control.model_walks import drawn_runs, settled
+    from tansykeel.control.model_walks import guided_runs, settled
 
     model = ModelConfig(gateways=GATEWAYS[:gateways], drift=DRIFT if apart else 0.0)
     first = settled(tuple(NODES[:nodes]), model, DRIFTING_CLOCK_RATES if apart else EXACT_CLOCK_RATES)
@@ -37,7 +37,7 @@
     for how, look in (
         ("every order, deepest first", lambda: search(first, some, seed)),
         ("drawn events", lambda: random_runs(first, many, seed, by_kind=True)),
-        ("drawn rounds", lambda: drawn_runs(first, many, seed)),
+        ("drawn rounds", lambda: guided_runs(first, many, seed)),
     ):
         begun = time.monotonic()
         found = look()
--- a/tansykeel/control/model_walks.py
+++ b/tansykeel/control/model_walks.py
@@ -212,7 +212,7 @@
                 self.step(("leads", node.name))
 
 
-def drawn_runs(first: RegionModel, bounds: Bounds, seed: int, steps: int = STEPS) -> SearchResult:
+def guided_runs(first: RegionModel, bounds: Bounds, seed: int, steps: int = STEPS) -> SearchResult:
     """Draw runs until so many states were looked at, or a law broke: then with the fewest events that show it."""
     chance, seen = Random(seed), 0
     while seen < bounds.states:
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -13,7 +13,7 @@
 from tansykeel.control.entries import BudgetReleased, NodeDemand, decode_entry
 from tansykeel.control.model_checker import DRIFTING_CLOCK_RATES, NODE
 from tansykeel.control.model_parts import LEASE, ModelConfig, ModelMember, ModelNode
-from tansykeel.control.model_walks import DrawnRun, drawn_runs, settled
+from tansykeel.control.model_walks import DrawnRun, guided_runs, settled
 
 NAMES = ("a", "b", "c")
 ALL = dict(ticks=30, proposals=5, crashes=2, restarts=5, forms=2)
@@ -86,8 +86,8 @@
 def test_no_event_order_violates_an_invariant():
     first = settled(NAMES, ModelConfig())
     for found in (
-        drawn_runs(first, Bounds(states=8_000, **ALL), 1),
-        drawn_runs(first, Bounds(states=4_000, **RESTARTS), 2),
+        guided_runs(first, Bounds(states=8_000, **ALL), 1),
+        guided_runs(first, Bounds(states=4_000, **RESTARTS), 2),
         random_runs(first, Bounds(states=3_000, **ALL), 3, 150, by_kind=True),
         search(settled(("a", "b"), ModelConfig()), Bounds(2, 1, 1, 1, 1, 6, 3_000), 4),
     ):
@@ -96,7 +96,7 @@
 
 def test_no_event_order_violates_an_invariant_with_drifting_clocks():
     first = settled(NAMES, ModelConfig(drift=0.1), DRIFTING_CLOCK_RATES)
-    found = drawn_runs(first, Bounds(states=6_000, **ALL), 1)
+    found = guided_runs(first, Bounds(states=6_000, **ALL), 1)
     assert found.violation == "" and found.states >= 6_000
 
 
@@ -111,7 +111,7 @@
     ],
 )
 def test_a_planted_fault_is_found(model, bounds, seed, violation):
-    found = drawn_runs(settled(NAMES, model), Bounds(states=40_000, **bounds), seed)
+    found = guided_runs(settled(NAMES, model), Bounds(states=40_000, **bounds), seed)
     assert found.violation.startswith(violation) and len(found.trace) < 120
 
 
