--- a/tansykeel/cli/control_search.py
+++ b/tansykeel/cli/control_search.py
@@ -28,10 +28,10 @@
     from tansykeel.cluster.model_checker import Bounds, random_runs, search
     from tansykeel.control.model_checker import DRIFTING_CLOCK_RATES, EXACT_CLOCK_RATES
     from tansykeel.control.model_parts import ModelConfig
-    from tansykeel.control.model_walks import guided_runs, settled
+    from tansykeel.control.model_walks import guided_runs, settled_region
 
     model = ModelConfig(gateways=GATEWAYS[:gateways], drift=DRIFT if apart else 0.0)
-    first = settled(tuple(NODES[:nodes]), model, DRIFTING_CLOCK_RATES if apart else EXACT_CLOCK_RATES)
+    first = settled_region(tuple(NODES[:nodes]), model, DRIFTING_CLOCK_RATES if apart else EXACT_CLOCK_RATES)
     some = Bounds(ticks=3, proposals=1, crashes=1, restarts=1, forms=1, events=events, states=states)
     many = Bounds(ticks=30, proposals=5, crashes=2, restarts=5, forms=2, states=states)
     for how, look in (
--- a/tansykeel/control/model_walks.py
+++ b/tansykeel/control/model_walks.py
@@ -34,7 +34,9 @@
 TICKS = (0.2, 0.8)  # chance that time goes on after a round: drawn for each run
 
 
-def settled(names: tuple[str, ...], model: ModelConfig, rates: tuple[int, ...] = EXACT_CLOCK_RATES) -> RegionModel:
+def settled_region(
+    names: tuple[str, ...], model: ModelConfig, rates: tuple[int, ...] = EXACT_CLOCK_RATES
+) -> RegionModel:
     """Return a region whose nodes agreed on a first view and whose gateways count by leases.
 
     Raises NoFirstView where that does not come about.
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -13,7 +13,7 @@
 from tansykeel.control.entries import BudgetReleased, NodeDemand, decode_entry
 from tansykeel.control.model_checker import DRIFTING_CLOCK_RATES, NODE
 from tansykeel.control.model_parts import LEASE, ModelConfig, ModelMember, ModelNode
-from tansykeel.control.model_walks import DrawnRun, guided_runs, settled
+from tansykeel.control.model_walks import DrawnRun, guided_runs, settled_region
 
 NAMES = ("a", "b", "c")
 ALL = dict(ticks=30, proposals=5, crashes=2, restarts=5, forms=2)
@@ -84,18 +84,18 @@
 
 
 def test_no_event_order_violates_an_invariant():
-    first = settled(NAMES, ModelConfig())
+    first = settled_region(NAMES, ModelConfig())
     for found in (
         guided_runs(first, Bounds(states=8_000, **ALL), 1),
         guided_runs(first, Bounds(states=4_000, **RESTARTS), 2),
         random_runs(first, Bounds(states=3_000, **ALL), 3, 150, by_kind=True),
-        search(settled(("a", "b"), ModelConfig()), Bounds(2, 1, 1, 1, 1, 6, 3_000), 4),
+        search(settled_region(("a", "b"), ModelConfig()), Bounds(2, 1, 1, 1, 1, 6, 3_000), 4),
     ):
         assert found.violation == "" and found.states >= 3_000
 
 
 def test_no_event_order_violates_an_invariant_with_drifting_clocks():
-    first = settled(NAMES, ModelConfig(drift=0.1), DRIFTING_CLOCK_RATES)
+    first = settled_region(NAMES, ModelConfig(drift=0.1), DRIFTING_CLOCK_RATES)
     found = guided_runs(first, Bounds(states=6_000, **ALL), 1)
     assert found.violation == "" and found.states >= 6_000
 
@@ -111,7 +111,7 @@
     ],
 )
 def test_a_planted_fault_is_found(model, bounds, seed, violation):
-    found = guided_runs(settled(NAMES, model), Bounds(states=40_000, **bounds), seed)
+    found = guided_runs(settled_region(NAMES, model), Bounds(states=40_000, **bounds), seed)
     assert found.violation.startswith(violation) and len(found.trace) < 120
 
 
@@ -120,7 +120,7 @@
     """Node b released units once, holds them all later, and the entry of then arrives at the leader again."""
     terms = node_with(state=state)
     model = ModelConfig(gateways=("g", "k", "j"), node_class=terms.node_class)
-    run = DrawnRun(settled(NAMES, model), Bounds(), Random(1))
+    run = DrawnRun(settled_region(NAMES, model), Bounds(), Random(1))
 
     late = []
 
@@ -159,7 +159,7 @@
 
 
 def test_a_budget_that_was_released_does_not_come_back_with_an_earlier_state_of_the_log():
-    node = settled(NAMES, ModelConfig()).nodes["c"].copy()
+    node = settled_region(NAMES, ModelConfig()).nodes["c"].copy()
     earlier = node.state.copy()
     record = node.state.records["c"]
     node.state.take(NodeDemand("a", 1, 1, 5))  # what c releases goes to a
