--- a/benchmarks/control_mutants.py
+++ b/benchmarks/control_mutants.py
@@ -139,7 +139,7 @@
     Mutant(
         "its own lease bounds no lease it grants",
         BudgetAgent,
-        "lease_left",
+        "remaining_lease",
         lambda self, now: self.terms.lease if self.lease_end > now else 0,
     ),
     Mutant("a grant between nodes binds nobody", LeaseTerms, "granter_duration", lambda self: 1),
--- a/tansykeel/control/budget_agent.py
+++ b/tansykeel/control/budget_agent.py
@@ -57,7 +57,7 @@
         self.view: View | None = None
         self._proposed_at: dict[tuple[str, str], int] = {}  # by kind of entry and node that it is about
 
-    def lease_left(self, now: int) -> int:
+    def remaining_lease(self, now: int) -> int:
         """Return how long it may grant leases for; 0 where it holds no lease on its view."""
         return max(self.lease_end - now, 0)
 
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -156,13 +156,13 @@
             incarnation=self.member.me.incarnation,
             view=agreement.number,
             active=agreement.active,
-            leased=self.budget.lease_left(now) * MICROSECONDS_IN_TENTH,
+            leased=self.budget.remaining_lease(now) * MICROSECONDS_IN_TENTH,
             leader=replicated_log.leader,
             leads=replicated_log.leads,
             entries=replicated_log.commit,
             sessions=len(self.table),
             units_granted=self.outstanding(now),
-            budget=self.budget.budget() if self.budget.lease_left(now) else 0,
+            budget=self.budget.budget() if self.budget.remaining_lease(now) else 0,
             admitted=self.admission.admitted,
             rejected=self.admission.rejected + self.rejected,
             nodes=tuple(self._node_status(name) for name in sorted(self.member.placements)),
@@ -177,7 +177,7 @@
             self.table.forget_grants()
         proposed = self.budget.proposals(now, len(self.table), self.outstanding(now))
         self.budget.observe(now)
-        if self.budget.lease_left(now):
+        if self.budget.remaining_lease(now):
             self._leased_at = now
         told = self._tell_commits(now)
         return [SendToNode(node, message) for node, message in [*sent, *proposed, *told]]
@@ -237,7 +237,7 @@
             return self._reject(connection, wrong, 0)
         if self.leaving:
             return self._reject(connection, f"{self.name} is about to end", NO_LEASE_RETRY_AFTER)
-        if not self.budget.lease_left(now):
+        if not self.budget.remaining_lease(now):
             return self._reject(connection, f"{self.name} holds no lease on its view", NO_LEASE_RETRY_AFTER)
         if retry_after := self.admission.admit(now):
             return self._send_rejection(connection, "too many new sessions at once", retry_after)
@@ -282,7 +282,7 @@
         if not self.table.acknowledge(session, heartbeat.lease):
             return self._broken(connection, f"lease {heartbeat.lease} acknowledged, which was never granted")
         session.heard_at = now
-        valid_for = min(self.session_terms.lease, self.budget.lease_left(now))
+        valid_for = min(self.session_terms.lease, self.budget.remaining_lease(now))
         units = self.table.renew(now, session, self.budget.budget(), self.budget.share(), valid_for)
         lasts = valid_for * MICROSECONDS_IN_TENTH if units else 0
         renewal = LeaseRenewal(session.number, heartbeat.asked_at, session.lease, units, lasts)
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -24,7 +24,7 @@
 class Deposed(BudgetAgent):
     """It renews leases without the cap by its own lease on the view."""
 
-    def lease_left(self, now):
+    def remaining_lease(self, now):
         return LEASE
 
 
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -18,8 +18,8 @@
 class GoesOnRenewing(BudgetAgent):
     """Renews leases also when its own lease on the view is over."""
 
-    def lease_left(self, now: int) -> int:
-        return super().lease_left(now) or self.terms.lease
+    def remaining_lease(self, now: int) -> int:
+        return super().remaining_lease(now) or self.terms.lease
 
 
 class BudgetIgnored(BudgetAgent):
--- a/tests/rehearse/test_control_on_sockets.py
+++ b/tests/rehearse/test_control_on_sockets.py
@@ -47,7 +47,7 @@
         for node in self.nodes:
             plant(node.agent.node)
             self.serving.append(asyncio.create_task(node.serve()))
-        await until(lambda: any(node.agent.node.budget.lease_left(clock()) for node in self.nodes))
+        await until(lambda: any(node.agent.node.budget.remaining_lease(clock()) for node in self.nodes))
         self.gateways.hub.start()
         for gateway in self.gateways:
             gateway.start()
