--- a/benchmarks/control_mutants.py
+++ b/benchmarks/control_mutants.py
@@ -87,13 +87,13 @@
             setattr(self.owner, self.method, real)
 
 
-_follow, _release, _renewed = BudgetAgent._follow, BudgetAgent._release, GatewaySession.renewed
+_follow_view, _release, _renewed = BudgetAgent._follow_view, BudgetAgent._release, GatewaySession.renewed
 
 
 def keeps_its_term(self: BudgetAgent, now: int, view: Any) -> bool:
     """Go on with the record of before, whatever view was followed."""
     first, term, record, pending = self.view is None, self.term, self.record, self.pending
-    if not _follow(self, now, view) or first:
+    if not _follow_view(self, now, view) or first:
         return first
     self.term, self.record, self.pending, self.registers = term, record, pending, True
     return False
@@ -121,7 +121,7 @@
 MUTANTS = (
     Mutant("outstanding without drift", SessionTable, "lasts", lambda self, valid_for: valid_for),
     Mutant("acknowledged lease taken for over", SessionTable, "acknowledge", acknowledges_all),
-    Mutant("no new term", BudgetAgent, "_follow", keeps_its_term),
+    Mutant("no new term", BudgetAgent, "_follow_view", keeps_its_term),
     Mutant("grants what it released", BudgetAgent, "budget", lambda self: self.record.units if self.record else 0),
     Mutant(
         "releases what is outstanding",
--- a/tansykeel/control/budget_agent.py
+++ b/tansykeel/control/budget_agent.py
@@ -80,7 +80,7 @@
         A lease on the view before counts on in the term: no view without this node is active before that is over too.
         """
         view = self.member.agreement.view
-        began = view is not None and view is not self.view and self._follow(now, view)
+        began = view is not None and view is not self.view and self._follow_view(now, view)
         self.lease_end = max(self.lease_end, self.member.agreement.lease_expires_at())
         self._take_record()
         return began
@@ -127,7 +127,7 @@
 
     # Within
 
-    def _follow(self, now: int, view: View) -> bool:
+    def _follow_view(self, now: int, view: View) -> bool:
         """Take up a view. Return True where a new term begins with it."""
         before, me = self.view, self.member.me
         self.view = view
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -38,9 +38,9 @@
 class SameTerm(BudgetAgent):
     """It comes back to a view and goes on in its old term."""
 
-    def _follow(self, now, view):
+    def _follow_view(self, now, view):
         if not self.term:
-            return super()._follow(now, view)
+            return super()._follow_view(now, view)
         self.view = view
         return False
 
@@ -48,8 +48,8 @@
 class Impatient(BudgetAgent):
     """It registers in a formed view without the wait for leases of earlier lives."""
 
-    def _follow(self, now, view):
-        began = super()._follow(now, view)
+    def _follow_view(self, now, view):
+        began = super()._follow_view(now, view)
         self.register_from = now
         return began
 
