--- a/tansykeel/control/budget_agent.py
+++ b/tansykeel/control/budget_agent.py
@@ -96,7 +96,7 @@
         leads = replicated_log is not None and replicated_log.leads
         return leads and agreement.active and agreement.leased(now)
 
-    def begins_to_register(self, now: int) -> bool:
+    def start_registering(self, now: int) -> bool:
         """Return True once in each term: from now on nothing counts that was granted before it."""
         if self.registers or not self.may_register(now):
             return False
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -173,7 +173,7 @@
     def _settle(self, now: int, sent: list[OutgoingMessage]) -> list[NodeAction]:
         """Follow what an event changed, and propose what the budget needs then."""
         self.budget.observe(now)
-        if self.budget.begins_to_register(now):
+        if self.budget.start_registering(now):
             self.table.forget_grants()
         proposed = self.budget.proposals(now, len(self.table), self.outstanding(now))
         self.budget.observe(now)
