--- a/benchmarks/control_mutants.py
+++ b/benchmarks/control_mutants.py
@@ -95,7 +95,7 @@
     first, term, record, pending = self.view is None, self.term, self.record, self.pending
     if not _follow_view(self, now, view) or first:
         return first
-    self.term, self.record, self.pending, self.registers = term, record, pending, True
+    self.term, self.record, self.pending, self.registering = term, record, pending, True
     return False
 
 
--- a/tansykeel/control/budget_agent.py
+++ b/tansykeel/control/budget_agent.py
@@ -50,7 +50,7 @@
         self.term = 0
         self.lease_end = NEVER  # of its own lease on a view that it holds in this term
         self.register_from = now  # earlier leases of the region may count until then
-        self.registers = False  # whether it began to register in this term
+        self.registering = False  # whether it began to register in this term
         self.leaving = False
         self.record: NodeBudget | None = None  # of this term: the latest that the log had
         self.pending: PendingRelease | None = None
@@ -98,9 +98,9 @@
 
     def start_registering(self, now: int) -> bool:
         """Return True once in each term: from now on nothing counts that was granted before it."""
-        if self.registers or not self.may_register(now):
+        if self.registering or not self.may_register(now):
             return False
-        self.registers = True
+        self.registering = True
         return True
 
     def proposals(self, now: int, sessions: int, outstanding: int) -> list[OutgoingMessage]:
@@ -109,7 +109,7 @@
         if self.record is not None:
             sent += self._demand(now, self.record, sessions)
             sent += self._release(now, self.record, outstanding)
-        elif self.registers and self.may_register(now):
+        elif self.registering and self.may_register(now):
             me = self.member.me
             entry = NodeRegistered(me.name, me.incarnation, self.term, self.region_units)
             sent += self._propose(now, entry, REGISTER_AGAIN)
@@ -136,7 +136,7 @@
             return False
         self.term += 1
         self.lease_end = NEVER
-        self.registers = False
+        self.registering = False
         self.record = None
         self.pending = None
         self._proposed_at.clear()
