--- a/tansykeel/control/budget_state.py
+++ b/tansykeel/control/budget_state.py
@@ -60,7 +60,7 @@
 
     def apply(self, index: int, entry: bytes) -> None:
         """Take one entry of the log, and deal out what is free then."""
-        self.take(decode_entry(entry))
+        self.apply_entry(decode_entry(entry))
 
     def snapshot(self) -> bytes:
         """Return the whole state as bytes."""
@@ -92,7 +92,7 @@
             return self.region_units // len(self.records)
         return self.region_units * self.records[node].weight // total
 
-    def take(self, entry: AnyEntry) -> None:
+    def apply_entry(self, entry: AnyEntry) -> None:
         """Take one entry; one that is late, of an earlier term or of another version changes nothing."""
         match entry:
             case NodeRegistered():
--- a/tests/control/test_budget_state.py
+++ b/tests/control/test_budget_state.py
@@ -40,9 +40,9 @@
     state = state_of(*entries)
     assert units(state) == {"a": 1_000, "b": 0}  # nothing is taken away from the first one
     assert state.target("a") == 750
-    state.take(BudgetReleased("a", 1, 1, state.records["a"].version, 800))
+    state.apply_entry(BudgetReleased("a", 1, 1, state.records["a"].version, 800))
     assert units(state) == {"a": 800, "b": 200}
-    state.take(BudgetReleased("a", 1, 1, state.records["a"].version, 700))
+    state.apply_entry(BudgetReleased("a", 1, 1, state.records["a"].version, 700))
     assert units(state) == {"a": 750, "b": 250}  # a is under its target then, and first by name
 
 
@@ -68,13 +68,13 @@
 
 def test_a_new_term_a_reclaim_and_a_loss_free_the_units():
     state = state_of(registered("a"), registered("b"))
-    state.take(registered("a", term=2))
+    state.apply_entry(registered("a", term=2))
     assert units(state) == {"a": 500, "b": 500}  # b was under its target, and a holds nothing of its earlier term
-    state.take(NodeReclaimed("b", 1, 1))
+    state.apply_entry(NodeReclaimed("b", 1, 1))
     assert units(state) == {"a": 1_000}
     state.apply(4, state.state_lost_entry(7))
     assert units(state) == {} and decode_entry(state.state_lost_entry(7)) == StateLost(7)
-    state.take(registered("c", region_units=400))
+    state.apply_entry(registered("c", region_units=400))
     assert units(state) == {"c": 400}  # all nodes were started anew, with new settings
 
 
@@ -105,7 +105,7 @@
     state = state_of(registered("a"), registered("b"), NodeDemand("a", 1, 1, 2))
     restored, copied = BudgetState(), state.copy()
     restored.restore(state.snapshot())
-    state.take(StateLost(2))
+    state.apply_entry(StateLost(2))
     for other in (restored, copied):
         assert units(other) == {"a": 1_000, "b": 0} and other.region_units == REGION
         assert other.records["a"].weight == 2
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -162,8 +162,8 @@
     node = settled_region(NAMES, ModelConfig()).nodes["c"].copy()
     earlier = node.state.copy()
     record = node.state.records["c"]
-    node.state.take(NodeDemand("a", 1, 1, 5))  # what c releases goes to a
-    node.state.take(BudgetReleased("c", 1, node.budget.term, record.version, 2))
+    node.state.apply_entry(NodeDemand("a", 1, 1, 5))  # what c releases goes to a
+    node.state.apply_entry(BudgetReleased("c", 1, node.budget.term, record.version, 2))
     node.budget.observe(0)
     kept = node.budget.budget()
     node.state.restore(earlier.snapshot())  # as a new leader begins, until it knows how far the log was decided
