--- a/tests/audit/test_control_planted.py
+++ b/tests/audit/test_control_planted.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from planted_control import BudgetIgnored, CountsOn, FormedViewTrusted, GoesOnRenewing, KeepsTheMost, LeadsAlone
+from planted_control import BudgetIgnored, CountsOn, FormedViewTrusted, KeepsTheMost, LeadsAlone, RenewsWithoutLease
 
 from tansykeel.audit.control_findings import ControlRule
 from tansykeel.cluster.replicated_log import ReplicatedLog
@@ -54,7 +54,7 @@
 
 def test_a_lease_renewed_by_a_deposed_follower_is_named():
     """It is cut from the other nodes, and not from its gateways."""
-    simulation, found = played(TRIAL, agent=GoesOnRenewing)
+    simulation, found = played(TRIAL, agent=RenewsWithoutLease)
     (deposed,) = (who for rule, who in found if rule is ControlRule.NODE_LEASES)
     first = simulation.checker.findings[0]
     assert first.who == deposed and simulation.nodes[deposed].region == "region-0"
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -15,7 +15,7 @@
 SECOND = 10_000  # tenths of a millisecond
 
 
-class GoesOnRenewing(BudgetAgent):
+class RenewsWithoutLease(BudgetAgent):
     """Renews leases also when its own lease on the view is over."""
 
     def remaining_lease(self, now: int) -> int:
--- a/tests/rehearse/test_control_on_sockets.py
+++ b/tests/rehearse/test_control_on_sockets.py
@@ -8,7 +8,7 @@
 import pytest
 import structlog
 from control_node_script import control_settings, settings_of
-from planted_control import BudgetIgnored, CountsOn, GoesOnRenewing, LeadsAlone
+from planted_control import BudgetIgnored, CountsOn, LeadsAlone, RenewsWithoutLease
 from stage import free_address, run_test, until
 
 from tansykeel.audit.control import check_folder, facts_of
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize(
     ("plant", "rule"),
     [
-        (plant_in("ControlNode", "budget", GoesOnRenewing), ControlRule.NODE_LEASES),
+        (plant_in("ControlNode", "budget", RenewsWithoutLease), ControlRule.NODE_LEASES),
         (plant_in("ControlNode", "budget", BudgetIgnored), ControlRule.SUMS),
         (plant_in("ControlNode", "replicated_log", LeadsAlone), ControlRule.ONE_LEADER),
         (plant_in("SessionClient", "_held", CountsOn), ControlRule.GATEWAY_LEASES),
