--- a/tests/audit/test_control_planted.py
+++ b/tests/audit/test_control_planted.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from planted_control import BudgetIgnored, CountsOn, FormedViewTrusted, KeepsTheMost, LeadsAlone, RenewsWithoutLease
+from planted_control import CountsOn, FormedViewTrusted, IgnoresBudget, KeepsTheMost, LeadsAlone, RenewsWithoutLease
 
 from tansykeel.audit.control_findings import ControlRule
 from tansykeel.cluster.replicated_log import ReplicatedLog
@@ -63,7 +63,7 @@
 
 
 def test_a_node_that_ignores_its_budget_is_named():
-    _, found = played(TRIAL, agent=BudgetIgnored, only="control-0-0")
+    _, found = played(TRIAL, agent=IgnoresBudget, only="control-0-0")
     assert found == {(ControlRule.SUMS, "region region-0"), (ControlRule.SUMS, "the whole")}
 
 
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -22,7 +22,7 @@
         return super().remaining_lease(now) or self.terms.lease
 
 
-class BudgetIgnored(BudgetAgent):
+class IgnoresBudget(BudgetAgent):
     """Grants each of its gateways all that there is."""
 
     def budget(self) -> int:
