--- a/tests/audit/test_control_planted.py
+++ b/tests/audit/test_control_planted.py
@@ -3,7 +3,14 @@
 from dataclasses import replace
 
 import pytest
-from planted_control import CountsOn, FormedViewTrusted, IgnoresBudget, KeepsTheMost, LeadsAlone, RenewsWithoutLease
+from planted_control import (
+    CountsOn,
+    IgnoresBudget,
+    KeepsTheMost,
+    LeadsAlone,
+    RegistersWithoutWaiting,
+    RenewsWithoutLease,
+)
 
 from tansykeel.audit.control_findings import ControlRule
 from tansykeel.cluster.replicated_log import ReplicatedLog
@@ -86,7 +93,7 @@
 
 def test_a_formed_view_after_which_nobody_waits_is_named():
     """The leases that gateways hold outlive the nodes that granted them. It shows in about half of the trials."""
-    found = [played(replace(REFORMED, seed=seed), agent=FormedViewTrusted)[1] for seed in range(8)]
+    found = [played(replace(REFORMED, seed=seed), agent=RegistersWithoutWaiting)[1] for seed in range(8)]
     assert (ControlRule.SUMS, "region region-0") in set().union(*found)
 
 
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -32,7 +32,7 @@
         return WHOLE_UNITS
 
 
-class FormedViewTrusted(BudgetAgent):
+class RegistersWithoutWaiting(BudgetAgent):
     """Registers as soon as a view that all formed is active, as if nobody counted what earlier lives granted."""
 
     def may_register(self, now: int) -> bool:
