--- a/tests/audit/test_control_planted.py
+++ b/tests/audit/test_control_planted.py
@@ -7,7 +7,7 @@
     CountsOn,
     IgnoresBudget,
     KeepsTheMost,
-    LeadsAlone,
+    LeadsWithoutMajority,
     RegistersWithoutWaiting,
     RenewsWithoutLease,
 )
@@ -84,7 +84,7 @@
 
 
 def test_two_leaders_are_named():
-    simulation, found = played(TRIAL, replicated_log=LeadsAlone)
+    simulation, found = played(TRIAL, replicated_log=LeadsWithoutMajority)
     assert {rule for rule, _ in found} >= {ControlRule.ONE_LEADER}
     said = [finding.what for finding in simulation.checker.findings]
     assert any("with promises of 1 of 3 voters" in what for what in said)
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -40,7 +40,7 @@
         return super().may_register(now)
 
 
-class LeadsAlone(ReplicatedLog):
+class LeadsWithoutMajority(ReplicatedLog):
     """Leads with its own promise alone, without a majority, and as a follower forgets what it promised."""
 
     def handle_message(self, now, sender, message: LogMessage):
--- a/tests/rehearse/test_control_on_sockets.py
+++ b/tests/rehearse/test_control_on_sockets.py
@@ -8,7 +8,7 @@
 import pytest
 import structlog
 from control_node_script import control_settings, settings_of
-from planted_control import CountsOn, IgnoresBudget, LeadsAlone, RenewsWithoutLease
+from planted_control import CountsOn, IgnoresBudget, LeadsWithoutMajority, RenewsWithoutLease
 from stage import free_address, run_test, until
 
 from tansykeel.audit.control import check_folder, facts_of
@@ -130,7 +130,7 @@
     [
         (plant_in("ControlNode", "budget", RenewsWithoutLease), ControlRule.NODE_LEASES),
         (plant_in("ControlNode", "budget", IgnoresBudget), ControlRule.SUMS),
-        (plant_in("ControlNode", "replicated_log", LeadsAlone), ControlRule.ONE_LEADER),
+        (plant_in("ControlNode", "replicated_log", LeadsWithoutMajority), ControlRule.ONE_LEADER),
         (plant_in("SessionClient", "_held", CountsOn), ControlRule.GATEWAY_LEASES),
     ],
 )
