--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -55,7 +55,7 @@
         return sent
 
 
-class CountsOn(HeldLease):
+class CountsExpiredLease(HeldLease):
     """Counts by its lease for a second more than that lasts."""
 
     def replace(self, now: int, lease: CountedLease) -> None:
--- a/tests/rehearse/test_control_on_sockets.py
+++ b/tests/rehearse/test_control_on_sockets.py
@@ -8,7 +8,7 @@
 import pytest
 import structlog
 from control_node_script import control_settings, settings_of
-from planted_control import CountsOn, IgnoresBudget, LeadsWithoutMajority, RenewsWithoutLease
+from planted_control import CountsExpiredLease, IgnoresBudget, LeadsWithoutMajority, RenewsWithoutLease
 from stage import free_address, run_test, until
 
 from tansykeel.audit.control import check_folder, facts_of
@@ -131,7 +131,7 @@
         (plant_in("ControlNode", "budget", RenewsWithoutLease), ControlRule.NODE_LEASES),
         (plant_in("ControlNode", "budget", IgnoresBudget), ControlRule.SUMS),
         (plant_in("ControlNode", "replicated_log", LeadsWithoutMajority), ControlRule.ONE_LEADER),
-        (plant_in("SessionClient", "_held", CountsOn), ControlRule.GATEWAY_LEASES),
+        (plant_in("SessionClient", "_held", CountsExpiredLease), ControlRule.GATEWAY_LEASES),
     ],
 )
 def test_a_planted_fault_is_named(tmp_path, plant, rule):
