--- a/tests/audit/test_control_planted.py
+++ b/tests/audit/test_control_planted.py
@@ -6,7 +6,7 @@
 from planted_control import (
     CountsExpiredLease,
     IgnoresBudget,
-    KeepsTheMost,
+    KeepsLargestUnits,
     LeadsWithoutMajority,
     RegistersWithoutWaiting,
     RenewsWithoutLease,
@@ -74,7 +74,7 @@
     assert found == {(ControlRule.SUMS, "region region-0"), (ControlRule.SUMS, "the whole")}
 
 
-@pytest.mark.parametrize("held", [CountsExpiredLease, KeepsTheMost])
+@pytest.mark.parametrize("held", [CountsExpiredLease, KeepsLargestUnits])
 def test_a_gateway_that_counts_what_it_was_not_granted_is_named(held):
     """By its claims alone: what reached it is in order."""
     simulation, found = played(replace(TRIAL, restarts=10), held=held)  # restarts make its lease shrink and grow
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -63,7 +63,7 @@
         super().replace(now, longer)
 
 
-class KeepsTheMost(HeldLease):
+class KeepsLargestUnits(HeldLease):
     """Never counts less than it did, though it acknowledges the smaller lease."""
 
     def replace(self, now: int, lease: CountedLease) -> None:
