--- a/tests/audit/test_control.py
+++ b/tests/audit/test_control.py
@@ -11,7 +11,7 @@
     SECOND,
     UNITS,
     VIEW,
-    between,
+    between_nodes,
     claim,
     closes,
     node_leases,
@@ -213,11 +213,11 @@
 
 
 def test_a_node_that_is_the_only_voter_of_a_view_grants_itself_its_lease_until_it_follows_a_later_one():
-    alone = between(SECOND, 0, 1, Decided(View(8, NODES[:1], NODES[:1], NODES)))
+    alone = between_nodes(SECOND, 0, 1, Decided(View(8, NODES[:1], NODES[:1], NODES)))
     records = [*START, alone, *renewal(20 * SECOND, 0, 0, HALF), claim(20 * SECOND + 400, 0, 0, HALF)]
     assert findings(records) == []
     assert rules([*START, alone, *renewal(20 * SECOND, 1, 1, HALF)]) == {ControlRule.NODE_LEASES}
-    moved = between(16 * SECOND, 0, 1, LeaseRequest(9, 160_000))
+    moved = between_nodes(16 * SECOND, 0, 1, LeaseRequest(9, 160_000))
     assert rules([*records, moved]) == {ControlRule.NODE_LEASES}
 
 
@@ -233,16 +233,16 @@
 
 
 LED = [
-    between(0, 0, 1, Decided(VIEW)),
-    between(10_000, 1, 0, LogPromise((7, 1, "control-0"), ZERO, 0, b"", (), 0)),
-    between(11_000, 0, 1, InstallSnapshot((7, 1, "control-0"), 0, b"", (b"a",), 0, 1)),
-    between(12_000, 1, 0, LogAccepted((7, 1, "control-0"), 1, 1)),
-    between(13_000, 0, 1, LogAccept((7, 1, "control-0"), 1, (b"b",), 1, 1)),
-    between(14_000, 0, 2, LogAccept((7, 1, "control-0"), 0, (b"a", b"b"), 2, 1)),
+    between_nodes(0, 0, 1, Decided(VIEW)),
+    between_nodes(10_000, 1, 0, LogPromise((7, 1, "control-0"), ZERO, 0, b"", (), 0)),
+    between_nodes(11_000, 0, 1, InstallSnapshot((7, 1, "control-0"), 0, b"", (b"a",), 0, 1)),
+    between_nodes(12_000, 1, 0, LogAccepted((7, 1, "control-0"), 1, 1)),
+    between_nodes(13_000, 0, 1, LogAccept((7, 1, "control-0"), 1, (b"b",), 1, 1)),
+    between_nodes(14_000, 0, 2, LogAccept((7, 1, "control-0"), 0, (b"a", b"b"), 2, 1)),
 ]
 SECOND_LED = [
-    between(SECOND, 2, 1, LogPromise((7, 2, "control-1"), ZERO, 0, b"", (), 0)),
-    between(SECOND + 1_000, 1, 2, InstallSnapshot((7, 2, "control-1"), 0, b"", (b"a", b"b", b"c"), 2, 1)),
+    between_nodes(SECOND, 2, 1, LogPromise((7, 2, "control-1"), ZERO, 0, b"", (), 0)),
+    between_nodes(SECOND + 1_000, 1, 2, InstallSnapshot((7, 2, "control-1"), 0, b"", (b"a", b"b", b"c"), 2, 1)),
 ]
 
 
@@ -250,9 +250,9 @@
     assert findings([*LED, *SECOND_LED]) == []
     anew = View(900, NODES, NODES)
     formed = [
-        between(3 * SECOND, 0, 1, Form(anew)),
-        between(3 * SECOND, 1, 0, LogPromise((900, 1, "control-0"), ZERO, 0, b"", (), 0)),
-        between(3 * SECOND + 1_000, 0, 1, InstallSnapshot((900, 1, "control-0"), 0, b"", (b"lost",), 1, 1)),
+        between_nodes(3 * SECOND, 0, 1, Form(anew)),
+        between_nodes(3 * SECOND, 1, 0, LogPromise((900, 1, "control-0"), ZERO, 0, b"", (), 0)),
+        between_nodes(3 * SECOND + 1_000, 0, 1, InstallSnapshot((900, 1, "control-0"), 0, b"", (b"lost",), 1, 1)),
     ]
     assert findings([*LED, *SECOND_LED, *formed]) == []
 
@@ -271,7 +271,7 @@
 )
 def test_two_leaders_are_named(who, record, said):
     """A deposed leader that does not know it may tell more entries; nobody may accept them."""
-    found = findings([*LED, *SECOND_LED, between(2 * SECOND, who, 1 - who % 2, record)])
+    found = findings([*LED, *SECOND_LED, between_nodes(2 * SECOND, who, 1 - who % 2, record)])
     if said is None:
         assert found == []
         return
@@ -281,8 +281,8 @@
 
 def test_another_order_of_committed_entries_is_named():
     forgetful = [
-        between(SECOND, 2, 1, LogPromise((7, 2, "control-1"), ZERO, 0, b"", (), 0)),
-        between(SECOND + 1_000, 1, 2, InstallSnapshot((7, 2, "control-1"), 0, b"", (b"b", b"a"), 2, 1)),
+        between_nodes(SECOND, 2, 1, LogPromise((7, 2, "control-1"), ZERO, 0, b"", (), 0)),
+        between_nodes(SECOND + 1_000, 1, 2, InstallSnapshot((7, 2, "control-1"), 0, b"", (b"b", b"a"), 2, 1)),
     ]
     finding = only([*LED, *forgetful])
     assert finding.what == "led to entry 1 of the log, which is committed as another"
--- a/tests/control_records.py
+++ b/tests/control_records.py
@@ -25,7 +25,7 @@
 )
 
 
-def between(at, node, to, message, passed=None):
+def between_nodes(at, node, to, message, passed=None):
     """A frame from one control node to another."""
     name, fields = CODEC.encode(message)
     went_on = at + WAY if passed is None else passed
@@ -67,11 +67,11 @@
 
 def node_leases(at, view=VIEW, nodes=(0, 1, 2)):
     """Each node holds a lease on the view for the longest time from `at` on."""
-    told = [between(0, 0, 1, Decided(view))]
+    told = [between_nodes(0, 0, 1, Decided(view))]
     for node in nodes:
         for voter in [voter for voter in range(3) if voter != node]:
-            told.append(between(at, node, voter, LeaseRequest(view.number, at // 100)))
-            told.append(between(at + 200, voter, node, LeaseGrant(view.number, at // 100, True)))
+            told.append(between_nodes(at, node, voter, LeaseRequest(view.number, at // 100)))
+            told.append(between_nodes(at + 200, voter, node, LeaseGrant(view.number, at // 100, True)))
     return told
 
 
