--- a/tests/audit/test_control.py
+++ b/tests/audit/test_control.py
@@ -13,10 +13,10 @@
     VIEW,
     between_nodes,
     claim,
-    closes,
     node_leases,
     renewal,
     session,
+    session_close,
     to_gateway,
     to_node,
 )
@@ -66,9 +66,9 @@
         *session(600_000, 0, 2),
         *renewal(700_000, 0, 2, 1),
         claim(700_400, 0, 2, 1),
-        closes(700_500, 0, 0),
+        session_close(700_500, 0, 0),
         LeaseClaimed(800_000, "gateway-0", 10),
-        closes(800_100, 0, 2),
+        session_close(800_100, 0, 2),
     ]
     assert findings(records) == []
 
@@ -156,8 +156,8 @@
         ([claim(11_000, 0, 0, HALF, lease=3)], "lease 3 of control-0, which never reached it"),
         ([claim(11_000, 0, 0, HALF, number=5)], "session 5 of control-0, which it never had"),
         ([claim(11_000, 0, 0, HALF, life=11)], "which it never had"),
-        ([claim(10_400, 0, 0, HALF), closes(20_000, 0, 0)], "and went on counting"),
-        ([closes(20_000, 0, 0), claim(21_000, 0, 0, HALF)], "after it closed that"),
+        ([claim(10_400, 0, 0, HALF), session_close(20_000, 0, 0)], "and went on counting"),
+        ([session_close(20_000, 0, 0), claim(21_000, 0, 0, HALF)], "after it closed that"),
         (
             [claim(10_400, 0, 0, HALF), to_node(400_000, 0, 0, Heartbeat(1, 4_000, 2))],
             f"acknowledged lease 2 of control-0 with {HALF // 2} units and went on counting {HALF}",
--- a/tests/control_records.py
+++ b/tests/control_records.py
@@ -94,6 +94,6 @@
     return LeaseClaimed(at, f"gateway-{gateway}", life, f"control-{node}", number, lease, units, ends)
 
 
-def closes(at, gateway, node, number=1, life=10):
+def session_close(at, gateway, node, number=1, life=10):
     """A gateway closes its session."""
     return to_node(at, gateway, node, SessionClose(number), life=life)
