--- a/tests/audit/test_control.py
+++ b/tests/audit/test_control.py
@@ -93,9 +93,9 @@
 
 def test_units_of_another_incarnation_count_until_their_lease_ends():
     """A gateway that was killed and is back: what it had is not free yet."""
-    records = [*START, *renewal(10_000, 0, 0, UNITS), *session(20_000, 0, 1, number=2, life=11)]
-    early = renewal(500_000, 0, 1, UNITS, number=2, life=11)
-    late = renewal(SECOND + 20_000, 0, 1, UNITS, number=2, life=11)
+    records = [*START, *renewal(10_000, 0, 0, UNITS), *session(20_000, 0, 1, number=2, incarnation=11)]
+    early = renewal(500_000, 0, 1, UNITS, number=2, incarnation=11)
+    late = renewal(SECOND + 20_000, 0, 1, UNITS, number=2, incarnation=11)
     assert rules([*records, *early]) == {ControlRule.SUMS}
     assert findings([*records, *late]) == []
 
@@ -155,7 +155,7 @@
         ([claim(350_000, 0, 0, HALF + 1, until=SECOND)], f"which gave it {HALF}"),
         ([claim(11_000, 0, 0, HALF, lease=3)], "lease 3 of control-0, which never reached it"),
         ([claim(11_000, 0, 0, HALF, number=5)], "session 5 of control-0, which it never had"),
-        ([claim(11_000, 0, 0, HALF, life=11)], "which it never had"),
+        ([claim(11_000, 0, 0, HALF, incarnation=11)], "which it never had"),
         ([claim(10_400, 0, 0, HALF), session_close(20_000, 0, 0)], "and went on counting"),
         ([session_close(20_000, 0, 0), claim(21_000, 0, 0, HALF)], "after it closed that"),
         (
--- a/tests/control_records.py
+++ b/tests/control_records.py
@@ -32,7 +32,7 @@
     return FrameSeen(at, went_on, f"control-{node}", node + 1, f"control-{to}", to + 1, "between-nodes", name, fields)
 
 
-def to_gateway(at, node, gateway, record, passed=None, life=10):
+def to_gateway(at, node, gateway, record, passed=None, incarnation=10):
     """A frame from a control node to a gateway."""
     fields = msgspec.msgpack.encode(record)
     went_on = at + WAY if passed is None else passed
@@ -42,21 +42,21 @@
         f"control-{node}",
         node + 1,
         f"gateway-{gateway}",
-        life,
+        incarnation,
         "to-gateway",
         type(record).__name__,
         fields,
     )
 
 
-def to_node(at, gateway, node, record, life=10):
+def to_node(at, gateway, node, record, incarnation=10):
     """A frame from a gateway to a control node."""
     fields = msgspec.msgpack.encode(record)
     return FrameSeen(
         at,
         at + WAY,
         f"gateway-{gateway}",
-        life,
+        incarnation,
         f"control-{node}",
         node + 1,
         "to-node",
@@ -75,25 +75,29 @@
     return told
 
 
-def session(at, gateway, node, number=1, life=10):
+def session(at, gateway, node, number=1, incarnation=10):
     """A control node holds a session of a gateway."""
-    return [to_gateway(at, node, gateway, SessionAccepted("c", f"control-{node}", number, SECOND), life=life)]
+    return [
+        to_gateway(at, node, gateway, SessionAccepted("c", f"control-{node}", number, SECOND), incarnation=incarnation)
+    ]
 
 
-def renewal(at, gateway, node, units, lease=1, number=1, valid_for=SECOND, acknowledged=0, life=10):
+def renewal(at, gateway, node, units, lease=1, number=1, valid_for=SECOND, acknowledged=0, incarnation=10):
     """A gateway asks at `at`, its node answers, and it has the lease 400 microseconds after it asked."""
     return [
-        to_node(at, gateway, node, Heartbeat(number, at // 100, acknowledged), life=life),
-        to_gateway(at + 200, node, gateway, LeaseRenewal(number, at // 100, lease, units, valid_for), life=life),
+        to_node(at, gateway, node, Heartbeat(number, at // 100, acknowledged), incarnation=incarnation),
+        to_gateway(
+            at + 200, node, gateway, LeaseRenewal(number, at // 100, lease, units, valid_for), incarnation=incarnation
+        ),
     ]
 
 
-def claim(at, gateway, node, units, lease=1, number=1, until=None, life=10):
+def claim(at, gateway, node, units, lease=1, number=1, until=None, incarnation=10):
     """A gateway counts by a lease that it asked for 400 microseconds before."""
     ends = at - 400 + SECOND if until is None else until
-    return LeaseClaimed(at, f"gateway-{gateway}", life, f"control-{node}", number, lease, units, ends)
+    return LeaseClaimed(at, f"gateway-{gateway}", incarnation, f"control-{node}", number, lease, units, ends)
 
 
-def session_close(at, gateway, node, number=1, life=10):
+def session_close(at, gateway, node, number=1, incarnation=10):
     """A gateway closes its session."""
-    return to_node(at, gateway, node, SessionClose(number), life=life)
+    return to_node(at, gateway, node, SessionClose(number), incarnation=incarnation)
