--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from control_stage import REGION_UNITS, Connection, Gateway, one_node, until, written
+from control_stage import REGION_UNITS, Connection, Gateway, one_node, until, write_settings
 from stage import run_test
 from typer.testing import CliRunner
 
@@ -203,7 +203,7 @@
         raise AssertionError("planted")
 
     async def go():
-        path, _ = written(tmp_path, 1)
+        path, _ = write_settings(tmp_path, 1)
         program = ControlProgram(load(path), 0, 1)
         monkeypatch.setattr(ControlNode, "tick", fails)
         assert await program.serve() == EXIT_FAILED
@@ -248,14 +248,14 @@
     ],
 )
 def test_a_node_starts_on_nothing_that_is_wrong(tmp_path, change, words, says):
-    path, _ = written(tmp_path, 3)
+    path, _ = write_settings(tmp_path, 3)
     path.write_text(path.read_text().replace(*change) if change[0] else path.read_text())
     told = CliRunner().invoke(app, ["control", str(path), "--number", "0", *words])
     assert told.exit_code == 2 and says in told.output
 
 
 def test_a_node_whose_address_is_taken_says_which(tmp_path):
-    path, (address,) = written(tmp_path, 1)
+    path, (address,) = write_settings(tmp_path, 1)
     with socket.create_server(address_of(address)):
         told = CliRunner().invoke(app, ["control", str(path), "--number", "0"])
     assert told.exit_code == 2 and f"{address}: " in told.output and "in use" in told.output
--- a/tests/control_stage.py
+++ b/tests/control_stage.py
@@ -40,7 +40,7 @@
             return address
 
 
-def written(folder, nodes):
+def write_settings(folder, nodes):
     """Write settings with this many control nodes; their file and their addresses."""
     addresses = [free_address() for _ in range(nodes)]
     lines = [f'control_node("n{n}", region = "north", address = "{address}")\n' for n, address in enumerate(addresses)]
@@ -72,7 +72,7 @@
 @asynccontextmanager
 async def processes(folder, nodes=3):
     """Yields the running nodes and their addresses."""
-    path, addresses = written(folder, nodes)
+    path, addresses = write_settings(folder, nodes)
     running = [NodeProcess(path, number) for number in range(nodes)]
     try:
         await asyncio.gather(*(node.start() for node in running))
@@ -84,7 +84,7 @@
 @asynccontextmanager
 async def one_node(folder, nodes=1):
     """Yields the first of the region's nodes, in the test's own loop, and its address; the others do not run."""
-    path, (address, *_) = written(folder, nodes)
+    path, (address, *_) = write_settings(folder, nodes)
     program = ControlProgram(load(path), 0, 1)
     port = asyncio.get_running_loop().create_future()
     serving = asyncio.create_task(program.serve(port.set_result))
