--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from control_stage import REGION_UNITS, Connection, Gateway, one_node, until, write_settings
+from control_stage import REGION_UNITS, Connection, Gateway, run_first_node, until, write_settings
 from stage import run_test
 from typer.testing import CliRunner
 
@@ -72,7 +72,7 @@
 )
 def test_what_is_wrong_gets_one_error_and_others_are_served(tmp_path, role, name, sent, says):
     async def go():
-        async with one_node(tmp_path) as (_, address):
+        async with run_first_node(tmp_path) as (_, address):
             served = await lone_gateway(address)
             wrong = await Connection(role, name).connect(address)
             if isinstance(sent, bytes):
@@ -100,7 +100,7 @@
 )
 def test_a_control_node_that_is_none_of_the_cluster_is_rejected(tmp_path, sent, says):
     async def go():
-        async with one_node(tmp_path, nodes=3) as (program, address):
+        async with run_first_node(tmp_path, nodes=3) as (program, address):
             wrong = await Connection("control", "n1").connect(address)
             for record in sent:
                 wrong.link.send(0, record)
@@ -113,7 +113,7 @@
 
 def test_a_gateway_whose_connection_ends_holds_no_session_any_more(tmp_path):
     async def go():
-        async with one_node(tmp_path) as (program, address):
+        async with run_first_node(tmp_path) as (program, address):
             served = await lone_gateway(address)
             assert program.agent.status().sessions == 1
             served.connection.link.abort("the process is gone", reset=True)
@@ -124,7 +124,7 @@
 
 def test_a_node_that_ends_says_goodbye_first(tmp_path):
     async def go():
-        async with one_node(tmp_path) as (program, address):
+        async with run_first_node(tmp_path) as (program, address):
             served = await lone_gateway(address)
             program.stopping.set()
             assert isinstance(await served.connection.received.get(), Goodbye)
@@ -134,7 +134,7 @@
 
 def test_connections_over_the_bound_are_told_so_and_those_there_are_served(tmp_path):
     async def go():
-        async with one_node(tmp_path) as (program, address):
+        async with run_first_node(tmp_path) as (program, address):
             served = await lone_gateway(address)
             program.most_connections = 2
             await Connection("gateway", "edge-1").connect(address)
@@ -151,7 +151,7 @@
     monkeypatch.setattr(control_program, "SWEEP_SECONDS", 0.1)
 
     async def go():
-        async with one_node(tmp_path) as (_, address):
+        async with run_first_node(tmp_path) as (_, address):
             served = await lone_gateway(address)
             silent = asyncio.create_task((await Connection("gateway", "edge-1").connect(address)).error())
             while not silent.done():
@@ -165,7 +165,7 @@
 
 def test_a_peer_that_reads_nothing_is_dropped_and_holds_little_memory(tmp_path):
     async def go():
-        async with one_node(tmp_path) as (program, address):
+        async with run_first_node(tmp_path) as (program, address):
             served = await lone_gateway(address)
             deaf = socket.create_connection(address_of(address))
             deaf.setblocking(False)
@@ -186,7 +186,7 @@
 
 def test_a_view_is_formed_without_names_that_an_operator_says_never_come(tmp_path):
     async def go():
-        async with one_node(tmp_path, nodes=3) as (_, address):
+        async with run_first_node(tmp_path, nodes=3) as (_, address):
             assert (await query_fleet(address, 5)).number == 0
             with pytest.raises(NotTold, match="'n7' is no other member in the settings"):
                 await declare_gone(address, ("n7",), 5)
@@ -216,7 +216,7 @@
         return asyncio.to_thread(CliRunner().invoke, app, ["control-status", *words])
 
     async def go():
-        async with one_node(tmp_path) as (_, address):
+        async with run_first_node(tmp_path) as (_, address):
             await lone_gateway(address)
             table = await run(address)
             assert table.exit_code == 0 and "n0 of region north, cluster farm: view" in table.output
@@ -231,7 +231,7 @@
 
 def test_a_node_without_a_lease_is_told_by_the_exit_code(tmp_path):
     async def go():
-        async with one_node(tmp_path, nodes=3) as (_, address):
+        async with run_first_node(tmp_path, nodes=3) as (_, address):
             told = await asyncio.to_thread(CliRunner().invoke, app, ["control-status", address])
             assert told.exit_code == 1 and "no lease: it grants nothing" in told.output
 
--- a/tests/control_stage.py
+++ b/tests/control_stage.py
@@ -82,7 +82,7 @@
 
 
 @asynccontextmanager
-async def one_node(folder, nodes=1):
+async def run_first_node(folder, nodes=1):
     """Yields the first of the region's nodes, in the test's own loop, and its address; the others do not run."""
     path, (address, *_) = write_settings(folder, nodes)
     program = ControlProgram(load(path), 0, 1)
