--- a/benchmarks/control_drills.py
+++ b/benchmarks/control_drills.py
@@ -30,7 +30,7 @@
     NodeProcess,
     free_address,
     gateways,
-    processes,
+    run_node_processes,
 )
 
 from tansykeel.edge.ask import NotTold, query_fleet, request  # noqa: E402
@@ -88,7 +88,7 @@
 async def region() -> AsyncIterator[Region]:
     """Yields a region whose gateways are spread evenly and count all of its units."""
     sums: list[int] = []
-    async with processes(Path(tempfile.mkdtemp()), NODES) as (nodes, addresses):
+    async with run_node_processes(Path(tempfile.mkdtemp()), NODES) as (nodes, addresses):
         await Region(nodes, addresses, [], sums).all_in_view()
         async with gateways(addresses, sums) as held:
             made = Region(nodes, addresses, held, sums)
--- a/tests/control_plane/test_control_processes.py
+++ b/tests/control_plane/test_control_processes.py
@@ -5,7 +5,7 @@
 import asyncio
 import signal
 
-from control_stage import REGION_UNITS, gateways, processes, until
+from control_stage import REGION_UNITS, gateways, run_node_processes, until
 from stage import run_test
 
 from tansykeel.edge.ask import request
@@ -38,7 +38,7 @@
 def test_sessions_spread_over_three_nodes_count_the_regions_units_and_never_more(tmp_path):
     async def go():
         sums = []
-        async with processes(tmp_path) as (_, addresses):
+        async with run_node_processes(tmp_path) as (_, addresses):
             await all_may_grant(addresses)
             async with gateways(addresses, sums) as held:
                 await until(lambda: sum(gateway.counted() for gateway in held) >= ALMOST_ALL)
@@ -55,7 +55,7 @@
 def test_a_leader_killed_leaves_the_others_leases_alone_and_its_own_move_within_twelve_seconds(tmp_path):
     async def go():
         sums = []
-        async with processes(tmp_path) as (nodes, addresses):
+        async with run_node_processes(tmp_path) as (nodes, addresses):
             await all_may_grant(addresses)
             async with gateways(addresses, sums) as held:
                 await until(lambda: sum(gateway.counted() for gateway in held) >= ALMOST_ALL)
@@ -80,7 +80,7 @@
 def test_all_nodes_killed_and_returned_grant_again_and_meanwhile_leases_end_by_themselves(tmp_path):
     async def go():
         sums = []
-        async with processes(tmp_path) as (nodes, addresses), gateways(addresses, sums) as held:
+        async with run_node_processes(tmp_path) as (nodes, addresses), gateways(addresses, sums) as held:
             await until(lambda: sum(gateway.counted() for gateway in held) >= ALMOST_ALL)
             await asyncio.gather(*(node.end() for node in nodes))
             await until(lambda: sum(gateway.counted() for gateway in held) == 0, 2)
@@ -93,7 +93,7 @@
 
 def test_a_node_told_to_end_lets_its_gateways_go_and_ends_in_time(tmp_path):
     async def go():
-        async with processes(tmp_path) as (nodes, addresses), gateways(addresses, []) as held:
+        async with run_node_processes(tmp_path) as (nodes, addresses), gateways(addresses, []) as held:
             await until(lambda: all(gateway.counted() for gateway in held))
             async with asyncio.timeout(2):
                 assert await nodes[0].end(signal.SIGTERM) == 0
@@ -104,7 +104,7 @@
 
 def test_a_node_alone_holds_no_lease_and_grants_nothing(tmp_path):
     async def go():
-        async with processes(tmp_path) as (nodes, addresses), gateways(addresses[:1], []) as held:
+        async with run_node_processes(tmp_path) as (nodes, addresses), gateways(addresses[:1], []) as held:
             await until(lambda: all(gateway.counted() for gateway in held))
             assert (await status(addresses[0])).leased
             await asyncio.gather(nodes[1].end(), nodes[2].end())
--- a/tests/control_stage.py
+++ b/tests/control_stage.py
@@ -70,7 +70,7 @@
 
 
 @asynccontextmanager
-async def processes(folder, nodes=3):
+async def run_node_processes(folder, nodes=3):
     """Yields the running nodes and their addresses."""
     path, addresses = write_settings(folder, nodes)
     running = [NodeProcess(path, number) for number in range(nodes)]
