--- a/benchmarks/control_drills.py
+++ b/benchmarks/control_drills.py
@@ -29,7 +29,7 @@
     Gateway,
     NodeProcess,
     free_address,
-    gateways,
+    run_gateways,
     run_node_processes,
 )
 
@@ -90,7 +90,7 @@
     sums: list[int] = []
     async with run_node_processes(Path(tempfile.mkdtemp()), NODES) as (nodes, addresses):
         await Region(nodes, addresses, [], sums).all_in_view()
-        async with gateways(addresses, sums) as held:
+        async with run_gateways(addresses, sums) as held:
             made = Region(nodes, addresses, held, sums)
             await since(lambda: made.counted() >= ALMOST_ALL * REGION_UNITS)
             yield made
--- a/tests/control_plane/test_control_processes.py
+++ b/tests/control_plane/test_control_processes.py
@@ -5,7 +5,7 @@
 import asyncio
 import signal
 
-from control_stage import REGION_UNITS, gateways, run_node_processes, until
+from control_stage import REGION_UNITS, run_gateways, run_node_processes, until
 from stage import run_test
 
 from tansykeel.edge.ask import request
@@ -40,7 +40,7 @@
         sums = []
         async with run_node_processes(tmp_path) as (_, addresses):
             await all_may_grant(addresses)
-            async with gateways(addresses, sums) as held:
+            async with run_gateways(addresses, sums) as held:
                 await until(lambda: sum(gateway.counted() for gateway in held) >= ALMOST_ALL)
                 assert {gateway.node for gateway in held} == {"n0", "n1", "n2"}
                 told = [await status(address) for address in addresses]
@@ -57,7 +57,7 @@
         sums = []
         async with run_node_processes(tmp_path) as (nodes, addresses):
             await all_may_grant(addresses)
-            async with gateways(addresses, sums) as held:
+            async with run_gateways(addresses, sums) as held:
                 await until(lambda: sum(gateway.counted() for gateway in held) >= ALMOST_ALL)
                 leader = await leader_of(addresses)
                 sessions = {gateway: gateway.answer for gateway in held if gateway.node != f"n{leader}"}
@@ -80,7 +80,7 @@
 def test_all_nodes_killed_and_returned_grant_again_and_meanwhile_leases_end_by_themselves(tmp_path):
     async def go():
         sums = []
-        async with run_node_processes(tmp_path) as (nodes, addresses), gateways(addresses, sums) as held:
+        async with run_node_processes(tmp_path) as (nodes, addresses), run_gateways(addresses, sums) as held:
             await until(lambda: sum(gateway.counted() for gateway in held) >= ALMOST_ALL)
             await asyncio.gather(*(node.end() for node in nodes))
             await until(lambda: sum(gateway.counted() for gateway in held) == 0, 2)
@@ -93,7 +93,7 @@
 
 def test_a_node_told_to_end_lets_its_gateways_go_and_ends_in_time(tmp_path):
     async def go():
-        async with run_node_processes(tmp_path) as (nodes, addresses), gateways(addresses, []) as held:
+        async with run_node_processes(tmp_path) as (nodes, addresses), run_gateways(addresses, []) as held:
             await until(lambda: all(gateway.counted() for gateway in held))
             async with asyncio.timeout(2):
                 assert await nodes[0].end(signal.SIGTERM) == 0
@@ -104,7 +104,7 @@
 
 def test_a_node_alone_holds_no_lease_and_grants_nothing(tmp_path):
     async def go():
-        async with run_node_processes(tmp_path) as (nodes, addresses), gateways(addresses[:1], []) as held:
+        async with run_node_processes(tmp_path) as (nodes, addresses), run_gateways(addresses[:1], []) as held:
             await until(lambda: all(gateway.counted() for gateway in held))
             assert (await status(addresses[0])).leased
             await asyncio.gather(nodes[1].end(), nodes[2].end())
--- a/tests/control_stage.py
+++ b/tests/control_stage.py
@@ -171,7 +171,7 @@
 
 
 @asynccontextmanager
-async def gateways(addresses, most_seen):
+async def run_gateways(addresses, most_seen):
     """Yields six gateways that hold sessions; `most_seen` notes each sum of what they count together."""
     found = [Gateway(f"edge-{number}", addresses) for number in range(6)]
 
