--- a/benchmarks/control_drills.py
+++ b/benchmarks/control_drills.py
@@ -98,7 +98,7 @@
 
 async def since(is_so: Callable[[], bool]) -> float:
     """Wait until something is so, and return after how many seconds that was."""
-    return float(await control_stage.until(is_so, PATIENCE_S))
+    return float(await control_stage.wait_until(is_so, PATIENCE_S))
 
 
 async def leader_killed() -> tuple[float, float, float]:
--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from control_stage import REGION_UNITS, Connection, Gateway, run_first_node, until, write_settings
+from control_stage import REGION_UNITS, Connection, Gateway, run_first_node, wait_until, write_settings
 from stage import run_test
 from typer.testing import CliRunner
 
@@ -76,7 +76,7 @@
             served = await lone_gateway(address)
             wrong = await Connection(role, name).connect(address)
             if isinstance(sent, bytes):
-                await until(lambda: not wrong.link.outgoing)  # the hello has left
+                await wait_until(lambda: not wrong.link.outgoing)  # the hello has left
                 wrong.link.sock.send(sent)
             elif sent is not None:
                 wrong.link.send(0, sent)
@@ -117,7 +117,7 @@
             served = await lone_gateway(address)
             assert program.agent.status().sessions == 1
             served.connection.link.abort("the process is gone", reset=True)
-            await until(lambda: program.agent.status().sessions == 0, 0.5)
+            await wait_until(lambda: program.agent.status().sessions == 0, 0.5)
 
     run_test(go())
 
@@ -138,7 +138,7 @@
             served = await lone_gateway(address)
             program.most_connections = 2
             await Connection("gateway", "edge-1").connect(address)
-            await until(lambda: len(program.last_received) == 2)
+            await wait_until(lambda: len(program.last_received) == 2)
             late = await Connection("gateway", "edge-2").connect(address)
             assert "2 connections are open here already" in await late.error()
             assert await served.renew()
@@ -171,7 +171,7 @@
             deaf.setblocking(False)
             frames = pack(0, Hello(1, "client", "deaf")) + 100_000 * pack(1, ControlStatusRequest())
             sending = asyncio.create_task(asyncio.get_running_loop().sock_sendall(deaf, frames))
-            await until(lambda: len(program.last_received) == 2)
+            await wait_until(lambda: len(program.last_received) == 2)
             most_waiting = 0
             while len(program.last_received) == 2:  # until it is dropped for taking nothing
                 assert await served.renew()
--- a/tests/control_stage.py
+++ b/tests/control_stage.py
@@ -191,7 +191,7 @@
             assert isinstance(outcome, asyncio.CancelledError), outcome
 
 
-async def until(so, seconds=12):
+async def wait_until(so, seconds=12):
     """Wait until something is so, and return after how many seconds that was."""
     begun = asyncio.get_running_loop().time()
     async with asyncio.timeout(seconds):
