--- a/tansykeel/control/entries.py
+++ b/tansykeel/control/entries.py
@@ -1,7 +1,8 @@
-"""Entries of a region's replicated log: what is decided once and for all about the budgets of its control nodes.
+"""Entries of a region's replicated log: the committed changes to the budgets of its control nodes.
 
-Packed as msgpack by kind and fields. Whoever proposes one may be late, cut off or deposed, and an entry may be decided
-twice: the state judges each as of when it is decided (`budget_state.py`).
+Each entry is a msgpack array of its class name and its fields. A proposer may be slow, cut off from the other nodes or
+no longer the leader, and an entry may be committed twice. The state machine (`budget_state.py`) therefore decides
+whether an entry still applies when it is committed, not when it is proposed.
 """
 
 from __future__ import annotations
@@ -11,13 +12,14 @@
 
 
 class Entry(Struct, frozen=True, array_like=True, tag=True):
-    """Base of all entries."""
+    """Base class of all entries; the tag is the class name."""
 
 
 class NodeRegistered(Entry, frozen=True, array_like=True, tag=True):
-    """A control node begins a term with nothing to grant; units of its earlier terms are free.
+    """A control node starts a term without units; the units of its earlier terms become free.
 
-    `region_units` is what the node's settings give the region: nodes whose settings differ share no budget.
+    `region_units` is the region's total in the node's settings. The entry is ignored if other registered nodes have a
+    different total.
     """
 
     node: str
@@ -27,7 +29,7 @@
 
 
 class NodeDemand(Entry, frozen=True, array_like=True, tag=True):
-    """How many sessions a control node holds: what the region's units are divided by."""
+    """The number of sessions a control node holds, which is its weight when the region's units are divided."""
 
     node: str
     incarnation: int
@@ -36,7 +38,10 @@
 
 
 class BudgetReleased(Entry, frozen=True, array_like=True, tag=True):
-    """A control node keeps no more than `units`. `version`: of the record that it decided this by."""
+    """A control node reduces its budget to `units`.
+
+    `version` is the version of the record that the decision was based on; the entry is ignored if the record changed.
+    """
 
     node: str
     incarnation: int
@@ -46,7 +51,7 @@
 
 
 class NodeReclaimed(Entry, frozen=True, array_like=True, tag=True):
-    """A term of a control node that is in no view any more is over, with all that it granted."""
+    """Ends a term of a control node that the current view no longer contains, and frees the node's units."""
 
     node: str
     incarnation: int
@@ -54,7 +59,7 @@
 
 
 class StateLost(Entry, frozen=True, array_like=True, tag=True):
-    """A view was formed anew: entries of before may be missing, so no record counts any more."""
+    """A view was formed without a predecessor: earlier entries may be missing, so all records are dropped."""
 
     view: int
 
@@ -65,10 +70,10 @@
 
 
 def encode_entry(entry: AnyEntry) -> bytes:
-    """Return the entry as bytes of the log."""
+    """Encode an entry for the log."""
     return _encode(entry)
 
 
 def decode_entry(data: bytes) -> AnyEntry:
-    """Return the entry that `encode_entry` made these bytes of."""
+    """Decode an entry that `encode_entry` encoded."""
     return _decode(data)
