--- a/tansykeel/control/budget_agent.py
+++ b/tansykeel/control/budget_agent.py
@@ -153,7 +153,7 @@
         """
         me, known = self.member.me, self.record
         record = self.state.records.get(me.name)
-        if record is None or record.tenure != (me.incarnation, self.term):
+        if record is None or record.generation != (me.incarnation, self.term):
             return
         if known is None or record.version >= known.version:
             self.record = copy(record)
--- a/tansykeel/control/budget_state.py
+++ b/tansykeel/control/budget_state.py
@@ -1,7 +1,7 @@
-"""The budgets of a region's control nodes, as the entries of the replicated log make them. Deterministic, without I/O.
+"""State machine of the replicated log: the budgets of a region's control nodes. Deterministic, without I/O.
 
-The sum of all budgets never passes the region's units: an entry frees units or changes weights, and only what is free
-then is dealt out, to nodes that are under their target, in the order of their names.
+The sum of all budgets never exceeds the region's units. Entries only free units or change weights; after each entry
+the free units are distributed, in name order, to the nodes whose budget is below their target.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class NodeBudget(Struct):
-    """The record of one control node. `version` counts the changes of its units within a term."""
+    """The budget record of one control node. `version` counts the changes of its units within a term."""
 
     incarnation: int
     term: int
@@ -33,14 +33,17 @@
     version: int = 0
 
     @property
-    def tenure(self) -> tuple[int, int]:
-        """Which incarnation and which term of it the record is of; later ones are greater."""
+    def generation(self) -> tuple[int, int]:
+        """The incarnation of the node and its term, which order the node's records by age."""
         return self.incarnation, self.term
 
 
 class BudgetSnapshot(Struct):
-    """All of the state. `region_units`: what its first node registered with, 0 while there is no record; `lost_in`: the
-    number of the view that last lost what was decided before, 0: none."""
+    """The complete state, as stored in a snapshot.
+
+    `region_units` is the total that the first node registered with, or 0 before that. `lost_in` is the number of the
+    last view formed without a predecessor, which dropped all records, or 0.
+    """
 
     region_units: int = 0
     lost_in: int = 0
@@ -51,7 +54,7 @@
 
 
 class BudgetState:
-    """The replicated log's state machine: each voter applies the same entries in the same order."""
+    """The replicated state: each voter applies the same entries in the same order."""
 
     def __init__(self) -> None:
         self.region_units = 0
@@ -59,26 +62,26 @@
         self.records: dict[str, NodeBudget] = {}
 
     def apply(self, index: int, entry: bytes) -> None:
-        """Take one entry of the log, and deal out what is free then."""
+        """Apply an encoded entry of the log."""
         self.apply_entry(decode_entry(entry))
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes."""
+        """Encode the complete state."""
         return msgspec.msgpack.encode(BudgetSnapshot(self.region_units, self.lost_in, self.records))
 
     def restore(self, data: bytes) -> None:
-        """Take the state of a snapshot in place of this one."""
-        kept = _decode_snapshot(data)
-        self.region_units = kept.region_units
-        self.lost_in = kept.lost_in
-        self.records = kept.records
+        """Replace the state by that of a snapshot."""
+        snapshot = _decode_snapshot(data)
+        self.region_units = snapshot.region_units
+        self.lost_in = snapshot.lost_in
+        self.records = snapshot.records
 
     def state_lost_entry(self, number: int) -> bytes:
-        """Return the entry by which view `number`, formed anew, begins."""
+        """Return the first entry of view `number`, which was formed without a predecessor."""
         return encode_entry(StateLost(number))
 
     def copy(self) -> BudgetState:
-        """Return a state that goes its own way from here on."""
+        """Return an independent copy."""
         made = type(self)()
         made.region_units = self.region_units
         made.lost_in = self.lost_in
@@ -86,14 +89,17 @@
         return made
 
     def target(self, node: str) -> int:
-        """Return how many units a registered node should have by its weight; evenly where no node has a session."""
+        """Return the units a registered node should have by its weight, or an even part if all weights are 0."""
         total = sum(record.weight for record in self.records.values())
         if total == 0:
             return self.region_units // len(self.records)
         return self.region_units * self.records[node].weight // total
 
     def apply_entry(self, entry: AnyEntry) -> None:
-        """Take one entry; one that is late, of an earlier term or of another version changes nothing."""
+        """Apply an entry, then distribute the free units.
+
+        An entry for another incarnation, term or version than the record's does not change the record.
+        """
         match entry:
             case NodeRegistered():
                 self._register(entry)
@@ -108,22 +114,22 @@
             case StateLost(view):
                 self.records.clear()
                 self.lost_in = view
-        self._deal()
+        self._distribute_free_units()
 
     def _record(self, node: str, incarnation: int, term: int) -> NodeBudget | None:
-        """Return the node's record if it is of this term."""
+        """Return the node's record if it is of this incarnation and term."""
         record = self.records.get(node)
-        return record if record is not None and record.tenure == (incarnation, term) else None
+        return record if record is not None and record.generation == (incarnation, term) else None
 
     def _register(self, entry: NodeRegistered) -> None:
         others = [name for name in self.records if name != entry.node]
         if not others:
             self.region_units = entry.region_units
         if entry.region_units != self.region_units:
-            # Guards against two nodes that share a region of different sizes while new settings are rolled out.
+            # While new settings are rolled out, nodes may disagree on the region's total and must not share a budget.
             return
         record = self.records.get(entry.node)
-        if record is None or record.tenure < (entry.incarnation, entry.term):
+        if record is None or record.generation < (entry.incarnation, entry.term):
             self.records[entry.node] = NodeBudget(entry.incarnation, entry.term)
 
     def _release(self, entry: BudgetReleased) -> None:
@@ -133,7 +139,7 @@
         record.units = entry.units
         record.version += 1
 
-    def _deal(self) -> None:
+    def _distribute_free_units(self) -> None:
         free = self.region_units - sum(record.units for record in self.records.values())
         for node, record in sorted(self.records.items()):
             missing = min(self.target(node) - record.units, free)
