--- a/tansykeel/control/budget_state.py
+++ b/tansykeel/control/budget_state.py
@@ -41,8 +41,8 @@
 class BudgetSnapshot(Struct):
     """The complete state, as stored in a snapshot.
 
-    `region_units` is the total that the first node registered with, or 0 before that. `lost_in` is the number of the
-    last view formed without a predecessor, which dropped all records, or 0.
+    `region_units` is the total that the first node registered with, or 0 if none has yet. `lost_in` is the number of
+    the last view that was formed without a predecessor and so dropped all records, or 0.
     """
 
     region_units: int = 0
@@ -98,7 +98,7 @@
     def apply_entry(self, entry: AnyEntry) -> None:
         """Apply an entry, then distribute the free units.
 
-        An entry for another incarnation, term or version than the record's does not change the record.
+        A late entry, of an earlier incarnation or term or of another version than the record's, changes no record.
         """
         match entry:
             case NodeRegistered():
