--- a/tansykeel/control/model_parts.py
+++ b/tansykeel/control/model_parts.py
@@ -1,7 +1,7 @@
-"""What the search of `model_checker.py` is made of: control nodes, gateways and connections that can be copied.
+"""Parts of the states that `model_checker.py` explores: control nodes, gateways and connections that can be copied.
 
-The decisions are those of the real node, agreement, log and session client. Left out are the failure detector, for any
-node may propose any view at any time, and chance.
+They use the real node, agreement, log and session client. The failure detector is left out, because in the model any
+node may propose any view at any time, and random numbers are replaced by a constant.
 """
 
 from __future__ import annotations
@@ -25,45 +25,45 @@
 
 NEVER_DUE = 1 << 62
 LEASE = 20_000  # tenths of a millisecond: two ticks
-TICK = 10_000  # by a clock that runs as time does
+TICK = 10_000  # tenths of a millisecond in a tick, by an exact clock
 REGION_UNITS = 12
 REGION = "r"
 CLUSTER = "c"
 
 
-class NoDetector:
-    """In place of a failure detector: nobody is looked at."""
+class NullFailureDetector:
+    """Stands in for a failure detector and monitors no member."""
 
     others: Mapping[str, Any] = {}
     leaving = False
 
     def observe_incarnation(self, now: int, name: str, incarnation: int) -> None:
-        """Take no notice of a message."""
+        """Do nothing."""
 
     def leave(self, now: int) -> list[OutgoingMessage]:
-        """Tell nobody."""
+        """Announce the departure to no member."""
         return []
 
 
 class ModelMember(ClusterMember):
-    """A cluster member that does what it does by itself only where the search says so."""
+    """A cluster member whose periodic work is done only as events of the search."""
 
     log_class: type[ReplicatedLog] = ReplicatedLog
 
     def __init__(
         self,
         name: str,
-        places: Mapping[str, Placement],
-        life: int,
-        pace: DetectorConfig,
+        placements: Mapping[str, Placement],
+        incarnation: int,
+        detector_config: DetectorConfig,
         terms: LeaseTerms,
-        chance: Random,
+        rng: Random,
         now: int,
         machine: StateMachine | None = None,
     ) -> None:
-        super().__init__(name, places, life, pace, terms, chance, now, machine)
+        super().__init__(name, placements, incarnation, detector_config, terms, rng, now, machine)
         assert machine is not None
-        self.failure_detector = cast(FailureDetector, NoDetector())
+        self.failure_detector = cast(FailureDetector, NullFailureDetector())
         self.replicated_log = self.log_class(self.me, machine, terms.lease, now)
 
     @property
@@ -73,11 +73,11 @@
         return self.replicated_log
 
     def due(self) -> int:
-        """Return when `tick` is due: never, for the search says when it renews."""
+        """Return when `tick` is due: never, because renewals are events of the search."""
         return NEVER_DUE
 
     def renew(self, now: int) -> list[OutgoingMessage]:
-        """Ask for leases anew; as a leader, tell the log again."""
+        """Request new leases; as leader of the log, also send its state to the followers again."""
         sent: list[OutgoingMessage] = list(self.agreement.renew(now))
         if self.log.leader_state is not None:
             sent += self.log.tick(now, 0)
@@ -85,7 +85,7 @@
         return sent
 
     def lead(self, now: int) -> list[OutgoingMessage]:
-        """Try to lead the log."""
+        """Start an election for the leadership of the log."""
         return list(self.log.start_election(now))
 
     def propose(self, now: int, members: Iterable[Member]) -> list[OutgoingMessage]:
@@ -94,14 +94,16 @@
         self._sync_log(now)
         return sent
 
-    def form(self, now: int, members: Iterable[Member], stamp: int, without: tuple[str, ...]) -> list[OutgoingMessage]:
-        """Ask all to take up a view that is formed anew."""
-        sent: list[OutgoingMessage] = list(self.agreement.form(now, members, stamp, without))
+    def form(
+        self, now: int, members: Iterable[Member], wall_ms: int, without: tuple[str, ...]
+    ) -> list[OutgoingMessage]:
+        """Form a view without a predecessor and ask its members to adopt it."""
+        sent: list[OutgoingMessage] = list(self.agreement.form(now, members, wall_ms, without))
         self._sync_log(now)
         return sent
 
     def copy(self) -> ModelMember:
-        """Return one that goes its own way from here on."""
+        """Return an independent copy."""
         made = copy(self)
         made.agreement = self.agreement.copy()
         made.replicated_log = self.log.copy()
@@ -109,7 +111,7 @@
         return made
 
     def key(self) -> tuple[object, ...]:
-        """Return all that decides what it will do."""
+        """Return everything that determines the member's future behaviour."""
         return (
             self.agreement.key(),
             self.log.key(),
@@ -119,7 +121,7 @@
         )
 
     def _record_part(self, now: int) -> None:
-        """Keep no account of parts: control nodes have none."""
+        """Record nothing: control nodes do not use parts."""
 
 
 class ModelNode(ControlNode):
@@ -127,12 +129,12 @@
 
     member_class = ModelMember
     member: ModelMember
-    known_key: tuple[object, ...] | None = None  # a node moves only right after it was copied
+    cached_key: tuple[object, ...] | None = None  # valid because a node changes only right after it was copied
 
     def copy(self) -> ModelNode:
-        """Return one that goes its own way from here on."""
+        """Return an independent copy."""
         made = copy(self)
-        made.known_key = None
+        made.cached_key = None
         made.member = self.member.copy()
         made.state = cast(BudgetState, made.member.log.machine)
         made.budget = self.budget.copy(made.member, made.state)
@@ -141,62 +143,66 @@
         return made
 
     def act(self, now: int, sent: list[OutgoingMessage]) -> list[Any]:
-        """Go on after something that the member did."""
+        """Let the node react to what its member did, which sent these messages."""
         return self._settle(now, sent)
 
-    def answers_for(self, now: int) -> int:
-        """Return what is outstanding, and change nothing: states of the search share a node that did not move."""
+    def outstanding_units(self, now: int) -> int:
+        """Return the outstanding units without changing the node, which other states of the search may share."""
         holders = self.table._holders.values()
-        return sum(max((one.units for one in holder.grants if one.until > now), default=0) for holder in holders)
+        return sum(max((grant.units for grant in holder.grants if grant.until > now), default=0) for holder in holders)
 
     def key(self) -> tuple[object, ...]:
-        """Return all that decides what it will do."""
-        if self.known_key is None:
-            parts = frozen(self.budget, ("member", "state", "view")), frozen(self.table), frozen(self.state.records)
-            self.known_key = self.member.key(), self._leased_at, self._next_sweep, self.leaving, *parts
-        return self.known_key
+        """Return everything that determines the node's future behaviour."""
+        if self.cached_key is None:
+            parts = (
+                hashable_state(self.budget, ("member", "state", "view")),
+                hashable_state(self.table),
+                hashable_state(self.state.records),
+            )
+            self.cached_key = self.member.key(), self._leased_at, self._next_sweep, self.leaving, *parts
+        return self.cached_key
 
 
-class Middle(Random):
-    """Chance that always draws the middle: one gateway's jitter is not what the search is about."""
+class FixedRandom(Random):
+    """A random source that always returns one half, because the search does not cover the gateways' jitter."""
 
     def random(self) -> float:
         """Return one half."""
         return 0.5
 
 
-MIDDLE = Middle()
+FIXED_RANDOM = FixedRandom()
 
 
 @dataclass(frozen=True, slots=True)
 class ModelGateway:
-    """One start of a gateway: its session client, and what it counts by as of the last renewal it received."""
+    """One incarnation of a gateway: its session client, and the grant of the last renewal that it counts by."""
 
     client: SessionClient
     incarnation: int
-    wants: tuple[str, ...] = ()  # nodes that it asked to be connected to
-    counted: GrantName | None = None
-    known_keys: list[object] = field(default_factory=list, compare=False)  # one at most: of the client as it is
+    pending: tuple[str, ...] = ()  # nodes it asked to connect to, without a result so far
+    counted: GrantId | None = None
+    cached_keys: list[object] = field(default_factory=list, compare=False)  # empty, or the key of the client
 
-    def copied(self) -> ModelGateway:
-        """Return one whose client goes its own way from here on."""
+    def copy(self) -> ModelGateway:
+        """Return a copy with an independent client; what never changes is shared."""
         shared = {
-            id(MIDDLE): MIDDLE,
+            id(FIXED_RANDOM): FIXED_RANDOM,
             id(self.client.terms): self.client.terms,
             id(self.client.order): self.client.order,
         }
-        return replace(self, client=deepcopy(self.client, shared), known_keys=[])
+        return replace(self, client=deepcopy(self.client, shared), cached_keys=[])
 
     def key(self) -> tuple[object, ...]:
-        """Return all that decides what it will do."""
-        if not self.known_keys:
-            self.known_keys.append(frozen(self.client, ("_held", "_chance", "order", "terms")))
-        return self.incarnation, self.wants, self.counted, self.client._held._lease, self.known_keys[0]
+        """Return everything that determines the gateway's future behaviour."""
+        if not self.cached_keys:
+            self.cached_keys.append(hashable_state(self.client, ("_held", "_chance", "order", "terms")))
+        return self.incarnation, self.pending, self.counted, self.client._held._lease, self.cached_keys[0]
 
 
 @dataclass(frozen=True, slots=True)
-class GrantName:
-    """Which lease it is, of which start of a node."""
+class GrantId:
+    """Identifies a grant: the node with its incarnation, the session and the number of the lease."""
 
     node: str
     incarnation: int
@@ -205,17 +211,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GrantMade:
-    """A lease as the node told it. `view`: of the node when it was granted; `over_at`: by the gateway's clock."""
+class GrantRecord:
+    """A lease as the node sent it.
+
+    `expires_at` is by the gateway's clock; `view` is the number of the node's view when it granted the lease.
+    """
 
     units: int
-    over_at: int
+    expires_at: int
     view: int
 
 
 @dataclass(frozen=True, slots=True)
 class Connection:
-    """One connection of a gateway to a control node: what is on its way arrives in order, or never."""
+    """A connection of a gateway to a control node: records in transit arrive in order, or never."""
 
     number: int
     gateway: str
@@ -228,17 +237,17 @@
     gateway_open: bool = True
 
     def closed_at_node(self) -> Connection:
-        """Return the connection once the node's end is closed."""
+        """Return the connection with the node's end closed."""
         return replace(self, node_open=False, to_node=())
 
     def closed_at_gateway(self) -> Connection:
-        """Return the connection once the gateway's end is closed."""
+        """Return the connection with the gateway's end closed."""
         return replace(self, gateway_open=False, to_gateway=())
 
 
 @dataclass(frozen=True)
 class ModelConfig:
-    """How nodes and gateways are made."""
+    """Configures the nodes and gateways of the model, and creates them."""
 
     gateways: tuple[str, ...] = ("g", "k")
     drift: float = 0.0
@@ -251,41 +260,41 @@
         object.__setattr__(self, "sessions", SessionTerms(LEASE, LEASE // 4, self.drift, 10_000.0))
 
     def node(self, member: Member, names: tuple[str, ...], now: int) -> ModelNode:
-        """Return a control node that starts."""
-        places = {name: Placement() for name in names}
+        """Create a control node that has just started."""
+        placements = {name: Placement() for name in names}
         return self.node_class(
             cluster=CLUSTER,
             region=REGION,
             region_units=REGION_UNITS,
             name=member.name,
             incarnation=member.incarnation,
-            nodes=places,
+            nodes=placements,
             gateways=frozenset(self.gateways),
             pace=DetectorConfig(),
             terms=self.leases,
             session_terms=self.sessions,
-            chance=MIDDLE,
+            chance=FIXED_RANDOM,
             now=now,
         )
 
     def gateway(self, name: str, incarnation: int, nodes: tuple[str, ...], now: int) -> ModelGateway:
-        """Return a gateway that starts."""
+        """Create a gateway that has just started."""
         count = len(self.gateways)
-        client = SessionClient(CLUSTER, REGION, name, count, nodes, self.sessions, MIDDLE, now)
+        client = SessionClient(CLUSTER, REGION, name, count, nodes, self.sessions, FIXED_RANDOM, now)
         return ModelGateway(client, incarnation)
 
 
-def frozen(value: object, without: tuple[str, ...] = ()) -> object:
-    """Return what an object holds as something that can be hashed and compared."""
+def hashable_state(value: object, exclude: tuple[str, ...] = ()) -> object:
+    """Convert an object's state, except for the attributes named in `exclude`, to hashable values."""
     if isinstance(value, dict):
-        return frozenset((frozen(key), frozen(held)) for key, held in value.items())
+        return frozenset((hashable_state(key), hashable_state(item)) for key, item in value.items())
     if isinstance(value, set | frozenset):
-        return frozenset(frozen(held) for held in value)
+        return frozenset(hashable_state(item) for item in value)
     if isinstance(value, (list, tuple)) or type(value).__name__ == "deque":
-        return tuple(frozen(held) for held in cast("Iterable[object]", value))
+        return tuple(hashable_state(item) for item in cast("Iterable[object]", value))
     names = getattr(value, "__struct_fields__", None) or getattr(type(value), "__slots__", None)
     if not names and hasattr(value, "__dict__") and not isinstance(value, type):
         names = tuple(vars(value))
     if not names or isinstance(value, (str, int, float)):
         return value
-    return tuple(frozen(getattr(value, name)) for name in names if name not in without)
+    return tuple(hashable_state(getattr(value, name)) for name in names if name not in exclude)
--- a/tansykeel/control/model_walks.py
+++ b/tansykeel/control/model_walks.py
@@ -14,7 +14,7 @@
 from tansykeel.cluster.membership import Member, ViewMessage
 from tansykeel.cluster.model_checker import Bounds, Event, NoFirstView, SearchResult, describe_event, minimize_trace
 from tansykeel.cluster.replicated_log import Propose
-from tansykeel.control.model_checker import EXACT_CLOCK_RATES, GATEWAY, MOST, NODE, RegionModel
+from tansykeel.control.model_checker import EVENT_LIMITS, EXACT_CLOCK_RATES, GATEWAY, NODE, RegionModel
 from tansykeel.control.model_parts import REGION_UNITS, ModelConfig
 
 SETTLING_ROUNDS = 12
@@ -68,7 +68,7 @@
             happen([("tick",)])
             continue
         happen([("acts", name) for name in model.gateways])
-        happen([("connects", name, node) for name, one in region.gateways.items() for node in one.wants])
+        happen([("connects", name, node) for name, one in region.gateways.items() for node in one.pending])
         all_arrive()
         happen([("tick",)])
     happen([("renews", name) for name in names])
@@ -155,7 +155,7 @@
             if name not in self.region.nodes and self._may("restart", self.bounds.restarts):
                 self.step(("restarts", name))
         self._decide()
-        if self.chance.random() < REOPENS and self._may("reopen", MOST["reopen"]):
+        if self.chance.random() < REOPENS and self._may("reopen", EVENT_LIMITS["reopen"]):
             self.step(("reopens", self.chance.choice(self.region.model.gateways)))
         self.play_round()
         if self.chance.random() < self.ticks and self._may("tick", self.bounds.ticks):
@@ -169,7 +169,7 @@
         self._lose_connections()
         for name in self.acting:
             self.step(("acts", name))
-            for node in self.region.gateways[name].wants:
+            for node in self.region.gateways[name].pending:
                 self.step(("connects", name, node))
         self._arrive()
 
@@ -188,7 +188,7 @@
         """A gateway sees that the other end is gone, or after a while that nothing comes from there."""
         for number, connection in list(self.region.connections.items()):
             gone = not connection.node_open and not connection.to_gateway
-            silent = connection.node not in self.reached and self._may("break", MOST["break"])
+            silent = connection.node not in self.reached and self._may("break", EVENT_LIMITS["break"])
             if connection.gateway_open and (gone or silent and self.chance.random() < self.may):
                 self.step(("breaks", number, GATEWAY))
             if connection.node_open and not connection.gateway_open and connection.node in self.reached:
