--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -40,7 +40,7 @@
 
 EXACT_CLOCK_RATES = (10,)  # tenths of a tick that each clock advances per tick: all clocks agree
 DRIFTING_CLOCK_RATES = (11, 9)  # of a fast and a slow clock, assigned in turn, for terms with a drift of a tenth
-EVENT_LIMITS = {"lead": 3, "break": 8, "reopen": 4, "leave": 1}  # in one run, in addition to the search's `Bounds`
+EVENT_LIMITS = {"lead": 3, "break": 8, "reopen": 4, "leave": 1}  # per run, besides `Bounds`; reopen: a gateway restarts
 NODE, GATEWAY = "node", "gateway"  # the ends of a connection
 
 
--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -13,7 +13,7 @@
 from tansykeel.control.entries import BudgetReleased, NodeDemand, decode_entry
 from tansykeel.control.model_checker import DRIFTING_CLOCK_RATES, NODE
 from tansykeel.control.model_parts import LEASE, ModelConfig, ModelMember, ModelNode
-from tansykeel.control.model_walks import DrawnRun, guided_runs, settled_region
+from tansykeel.control.model_walks import GuidedRun, guided_runs, settled_region
 
 NAMES = ("a", "b", "c")
 ALL = dict(ticks=30, proposals=5, crashes=2, restarts=5, forms=2)
@@ -120,7 +120,7 @@
     """Node b released units once, holds them all later, and the entry of then arrives at the leader again."""
     terms = node_with(state=state)
     model = ModelConfig(gateways=("g", "k", "j"), node_class=terms.node_class)
-    run = DrawnRun(settled_region(NAMES, model), Bounds(), Random(1))
+    run = GuidedRun(settled_region(NAMES, model), Bounds(), Random(1))
 
     late = []
 
