--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -1,4 +1,4 @@
-"""Event orders on nodes, sessions and gateways: no invariant is violated; each planted fault is found and minimized."""
+"""Model checking of control nodes and gateways: no invariant is violated, and each planted fault is found and minimized."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 NAMES = ("a", "b", "c")
 ALL = dict(ticks=30, proposals=5, crashes=2, restarts=5, forms=2)
-CALM = dict(ticks=60, proposals=0, crashes=0, restarts=0, forms=0)
+NO_FAULTS = dict(ticks=60, proposals=0, crashes=0, restarts=0, forms=0)
 RESTARTS = dict(ticks=30, proposals=0, crashes=0, restarts=6, forms=2)
 
 
-class Deposed(BudgetAgent):
-    """It renews leases without the cap by its own lease on the view."""
+class UnboundedLeases(BudgetAgent):
+    """Grants leases that may outlast the node's own lease on the view."""
 
     def remaining_lease(self, now):
         return LEASE
 
 
-class Hasty(BudgetAgent):
-    """As leader it reclaims before the view without the node is active."""
+class EarlyReclaim(BudgetAgent):
+    """Reclaims as leader before the view without the node is active."""
 
     def may_reclaim(self, now):
         return self.member.replicated_log.leads
 
 
 class SameTerm(BudgetAgent):
-    """It comes back to a view and goes on in its old term."""
+    """Continues its old term when it returns to a view."""
 
     def _follow_view(self, now, view):
         if not self.term:
@@ -45,17 +45,17 @@
         return False
 
 
-class Impatient(BudgetAgent):
-    """It registers in a formed view without the wait for leases of earlier lives."""
+class EarlyRegistration(BudgetAgent):
+    """Registers in a formed view without waiting for the leases of earlier incarnations to expire."""
 
     def _follow_view(self, now, view):
-        began = super()._follow_view(now, view)
+        new_term = super()._follow_view(now, view)
         self.register_from = now
-        return began
+        return new_term
 
 
-class Versionless(BudgetState):
-    """It counts a release whatever the record was when it was proposed."""
+class UncheckedRelease(BudgetState):
+    """Applies a release even if the record changed after the release was proposed."""
 
     def _release(self, entry):
         record = self._record(entry.node, entry.incarnation, entry.term)
@@ -65,7 +65,7 @@
 
 
 class ForgetsPromises(ReplicatedLog):
-    """A follower forgets the ballot it promised, so two leaders may commit different entries."""
+    """Forgets, as a follower, the ballot it promised, so that two leaders may commit different entries."""
 
     def handle_message(self, now, sender, message):
         if isinstance(message, LogPrepare | InstallSnapshot | LogAccept) and self.leader_state is None:
@@ -73,7 +73,9 @@
         return super().handle_message(now, sender, message)
 
 
-def node_with(budget=BudgetAgent, state=BudgetState, log=ReplicatedLog):
+def model_with(budget=BudgetAgent, state=BudgetState, log=ReplicatedLog):
+    """The configuration of a model whose nodes use these classes."""
+
     class Member(ModelMember):
         log_class = log
 
@@ -103,38 +105,41 @@
 @pytest.mark.parametrize(
     "model, bounds, seed, violation",
     [
-        (node_with(Deposed), ALL, 4, "a lease counts after view"),
-        (node_with(Hasty), ALL, 5, "gateways count more than the region's units"),
-        (node_with(SameTerm), ALL, 6, "gateways count more than the region's units"),
-        (node_with(Impatient), RESTARTS, 1, "gateways count more than the region's units"),
-        (node_with(log=ForgetsPromises), CALM, 6, "two entries decided"),
+        (model_with(UnboundedLeases), ALL, 4, "a lease counts after view"),
+        (model_with(EarlyReclaim), ALL, 5, "gateways count more than the region's units"),
+        (model_with(SameTerm), ALL, 6, "gateways count more than the region's units"),
+        (model_with(EarlyRegistration), RESTARTS, 1, "gateways count more than the region's units"),
+        (model_with(log=ForgetsPromises), NO_FAULTS, 6, "two entries decided"),
     ],
 )
-def test_a_planted_fault_is_found(model, bounds, seed, violation):
+def test_planted_fault_is_found(model, bounds, seed, violation):
     found = guided_runs(settled_region(NAMES, model), Bounds(states=40_000, **bounds), seed)
     assert found.violation.startswith(violation) and len(found.trace) < 120
 
 
-@pytest.mark.parametrize("state, broken", [(BudgetState, False), (Versionless, True)])
-def test_a_release_that_is_decided_late_takes_nothing_that_is_granted(state, broken):
-    """Node b released units once, holds them all later, and the entry of then arrives at the leader again."""
-    terms = node_with(state=state)
-    model = ModelConfig(gateways=("g", "k", "j"), node_class=terms.node_class)
+@pytest.mark.parametrize("state, violated", [(BudgetState, False), (UncheckedRelease, True)])
+def test_release_committed_late_frees_no_granted_units(state, violated):
+    """Guards against a release that applies to a later version of the record.
+
+    Node b releases units and later holds all of them again; then the old proposal reaches the leader once more.
+    """
+    two_gateways = model_with(state=state)
+    model = ModelConfig(gateways=("g", "k", "j"), node_class=two_gateways.node_class)
     run = GuidedRun(settled_region(NAMES, model), Bounds(), Random(1))
 
-    late = []
+    late_proposals = []
 
-    def release_of(word):
-        return isinstance(word[2], Propose) and isinstance(decode_entry(word[2].entry), BudgetReleased)
+    def is_release(delivery):
+        return isinstance(delivery[2], Propose) and isinstance(decode_entry(delivery[2].entry), BudgetReleased)
 
-    def rounds(count, *gateways):
+    def play_rounds(count, *gateways):
         run.acting = list(gateways)
         for _ in range(count):
             run.step(("tick",))
             run.play_round()
 
-    def end(*gateways):
-        """Their processes end, and the nodes see it."""
+    def restart(*gateways):
+        """Restart the gateways, and let the nodes notice the loss of their connections."""
         for gateway in gateways:
             run.step(("reopens", gateway))
             for number, connection in list(run.region.connections.items()):
@@ -142,30 +147,32 @@
                     run.step(("breaks", number, NODE))
 
     for _ in range(2):
-        end("g", "k")
-        rounds(8, "j")
+        restart("g", "k")
+        play_rounds(8, "j")
         assert run.region.counted_by("j").units == 12
-        if not late:
-            rounds(8, "g", "k", "j")
-            late += [word for word in run.region.sent if release_of(word) and word[1].name == "b"]
+        if not late_proposals:
+            play_rounds(8, "g", "k", "j")
+            late_proposals += [sent for sent in run.region.sent if is_release(sent) and sent[1].name == "b"]
     assert run.region.nodes["b"].budget.budget() == 12
-    run.play_round()  # j renews, and stands still from then on
+    run.play_round()  # j renews its lease here and is stalled from then on
     run.acting = ["g"]
     run.play_round()
-    for word in late:
-        run.step(("arrives", *word))
-    rounds(1, "g")
-    assert late and run.region.violation.startswith("gateways count more") is broken
+    for proposal in late_proposals:
+        run.step(("arrives", *proposal))
+    play_rounds(1, "g")
+    assert late_proposals and run.region.violation.startswith("gateways count more") is violated
 
 
-def test_a_budget_that_was_released_does_not_come_back_with_an_earlier_state_of_the_log():
+def test_released_budget_does_not_reappear_with_an_earlier_state_of_the_log():
+    """Guards against a node that reads its record from a state restored to an earlier entry."""
     node = settled_region(NAMES, ModelConfig()).nodes["c"].copy()
     earlier = node.state.copy()
     record = node.state.records["c"]
-    node.state.apply_entry(NodeDemand("a", 1, 1, 5))  # what c releases goes to a
+    node.state.apply_entry(NodeDemand("a", 1, 1, 5))  # so that the units c releases go to a
     node.state.apply_entry(BudgetReleased("c", 1, node.budget.term, record.version, 2))
     node.budget.observe(0)
     kept = node.budget.budget()
-    node.state.restore(earlier.snapshot())  # as a new leader begins, until it knows how far the log was decided
+    # A new leader restores this state in its followers until it knows how far the log was committed.
+    node.state.restore(earlier.snapshot())
     node.budget.observe(0)
     assert earlier.records["c"].units == 6 and node.budget.budget() == kept == 2
