--- a/tests/control/test_model_checker.py
+++ b/tests/control/test_model_checker.py
@@ -1,4 +1,4 @@
-"""Model checking of control nodes and gateways: no invariant is violated, and each planted fault is found and minimized."""
+"""Model checking of control nodes and gateways: no invariant is violated, and planted faults are found and minimized."""
 
 from __future__ import annotations
 
