--- a/tests/control_records.py
+++ b/tests/control_records.py
@@ -1,4 +1,4 @@
-"""Made-up records of a small region, as links and gateways would write them: three control nodes, three gateways."""
+"""Builds the records that links and gateways would write for a small region of three control nodes and gateways."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 MS, SECOND = 1_000, 1_000_000
 LEASE = 3 * SECOND
-WAY = 100  # microseconds that a frame is on its way
+TRANSIT_TIME = 100  # of a frame, in microseconds like all times here
 NODES = tuple(Member(f"control-{n}", n + 1) for n in range(3))
 VIEW = View(7, NODES, NODES)
 UNITS = 600_000_000
@@ -26,19 +26,19 @@
 
 
 def between_nodes(at, node, to, message, passed=None):
-    """A frame from one control node to another."""
+    """The record of a frame from one control node to another."""
     name, fields = CODEC.encode(message)
-    went_on = at + WAY if passed is None else passed
-    return FrameSeen(at, went_on, f"control-{node}", node + 1, f"control-{to}", to + 1, "between-nodes", name, fields)
+    passed_at = at + TRANSIT_TIME if passed is None else passed
+    return FrameSeen(at, passed_at, f"control-{node}", node + 1, f"control-{to}", to + 1, "between-nodes", name, fields)
 
 
 def to_gateway(at, node, gateway, record, passed=None, incarnation=10):
-    """A frame from a control node to a gateway."""
+    """The record of a frame from a control node to a gateway."""
     fields = msgspec.msgpack.encode(record)
-    went_on = at + WAY if passed is None else passed
+    passed_at = at + TRANSIT_TIME if passed is None else passed
     return FrameSeen(
         at,
-        went_on,
+        passed_at,
         f"control-{node}",
         node + 1,
         f"gateway-{gateway}",
@@ -50,11 +50,11 @@
 
 
 def to_node(at, gateway, node, record, incarnation=10):
-    """A frame from a gateway to a control node."""
+    """The record of a frame from a gateway to a control node."""
     fields = msgspec.msgpack.encode(record)
     return FrameSeen(
         at,
-        at + WAY,
+        at + TRANSIT_TIME,
         f"gateway-{gateway}",
         incarnation,
         f"control-{node}",
@@ -66,24 +66,24 @@
 
 
 def node_leases(at, view=VIEW, nodes=(0, 1, 2)):
-    """Each node holds a lease on the view for the longest time from `at` on."""
-    told = [between_nodes(0, 0, 1, Decided(view))]
+    """The frames by which each node gets a lease of full duration on the view, asked for at `at`."""
+    records = [between_nodes(0, 0, 1, Decided(view))]
     for node in nodes:
         for voter in [voter for voter in range(3) if voter != node]:
-            told.append(between_nodes(at, node, voter, LeaseRequest(view.number, at // 100)))
-            told.append(between_nodes(at + 200, voter, node, LeaseGrant(view.number, at // 100, True)))
-    return told
+            records.append(between_nodes(at, node, voter, LeaseRequest(view.number, at // 100)))
+            records.append(between_nodes(at + 200, voter, node, LeaseGrant(view.number, at // 100, True)))
+    return records
 
 
 def session(at, gateway, node, number=1, incarnation=10):
-    """A control node holds a session of a gateway."""
+    """The frame by which a control node accepts a gateway's session."""
     return [
         to_gateway(at, node, gateway, SessionAccepted("c", f"control-{node}", number, SECOND), incarnation=incarnation)
     ]
 
 
 def renewal(at, gateway, node, units, lease=1, number=1, valid_for=SECOND, acknowledged=0, incarnation=10):
-    """A gateway asks at `at`, its node answers, and it has the lease 400 microseconds after it asked."""
+    """A heartbeat that a gateway sends at `at`, and its renewal, which the gateway has 400 microseconds later."""
     return [
         to_node(at, gateway, node, Heartbeat(number, at // 100, acknowledged), incarnation=incarnation),
         to_gateway(
@@ -93,11 +93,11 @@
 
 
 def claim(at, gateway, node, units, lease=1, number=1, until=None, incarnation=10):
-    """A gateway counts by a lease that it asked for 400 microseconds before."""
+    """The record of a gateway that counts by a lease from `at` on, 400 microseconds after it asked for the lease."""
     ends = at - 400 + SECOND if until is None else until
     return LeaseClaimed(at, f"gateway-{gateway}", incarnation, f"control-{node}", number, lease, units, ends)
 
 
 def session_close(at, gateway, node, number=1, incarnation=10):
-    """A gateway closes its session."""
+    """The frame by which a gateway closes its session."""
     return to_node(at, gateway, node, SessionClose(number), incarnation=incarnation)
