--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -1,6 +1,6 @@
-"""Parts of control nodes and gateways with a fault in them, to be named by the checker of the control plane.
+"""Parts of control nodes and gateways with planted faults, which the checker of the control plane has to detect.
 
-Each takes the place of the real part in one that was made already: `part.__class__ = ...`.
+Each replaces the class of a part that already exists: `part.__class__ = ...`.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class RenewsWithoutLease(BudgetAgent):
-    """Renews leases also when its own lease on the view is over."""
+    """Renews leases even after the node's own lease on the view has expired."""
 
     def remaining_lease(self, now: int) -> int:
         return super().remaining_lease(now) or self.terms.lease
 
 
 class IgnoresBudget(BudgetAgent):
-    """Grants each of its gateways all that there is."""
+    """Grants each of the node's gateways all units of all regions."""
 
     def budget(self) -> int:
         return WHOLE_UNITS
@@ -33,7 +33,7 @@
 
 
 class RegistersWithoutWaiting(BudgetAgent):
-    """Registers as soon as a view that all formed is active, as if nobody counted what earlier lives granted."""
+    """Registers as soon as a formed view is active, although leases of earlier incarnations may still count."""
 
     def may_register(self, now: int) -> bool:
         self.register_from = now
@@ -41,7 +41,7 @@
 
 
 class LeadsWithoutMajority(ReplicatedLog):
-    """Leads with its own promise alone, without a majority, and as a follower forgets what it promised."""
+    """Leads without the promises of a majority, and forgets as a follower what it promised."""
 
     def handle_message(self, now, sender, message: LogMessage):
         self.promised = ZERO_BALLOT
@@ -56,15 +56,15 @@
 
 
 class CountsExpiredLease(HeldLease):
-    """Counts by its lease for a second more than that lasts."""
+    """Counts a lease for one second after it has expired."""
 
     def replace(self, now: int, lease: CountedLease) -> None:
-        longer = replace(lease, until=lease.until + SECOND) if lease.units else lease
-        super().replace(now, longer)
+        extended = replace(lease, until=lease.until + SECOND) if lease.units else lease
+        super().replace(now, extended)
 
 
 class KeepsLargestUnits(HeldLease):
-    """Never counts less than it did, though it acknowledges the smaller lease."""
+    """Counts no fewer units when a lease shrinks, although it acknowledges the smaller lease."""
 
     def replace(self, now: int, lease: CountedLease) -> None:
         units = max(lease.units, self._lease.units)
