--- a/tests/control_stage.py
+++ b/tests/control_stage.py
@@ -1,4 +1,4 @@
-"""Control nodes on loopback, as processes or in the test's own loop, and gateways that speak to them in raw frames."""
+"""Runs control nodes on loopback, as processes or in the test's event loop, and gateways that send them raw frames."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 REGION_UNITS = 700_000_000
 HEARTBEAT = 0.3  # seconds
-PORTS = 20_000, 32_000  # under those that the system gives to connections that are opened
+PORTS = 20_000, 32_000  # below the ephemeral ports that the system assigns to outgoing connections
 SETTINGS = """
 gateway("edge", peer_stall_s = 1)
 category("read", soft_limit_ms = 250, cut_off_ms = 1500)
@@ -32,7 +32,7 @@
 
 
 def free_address():
-    """An address whose port the system gives no connection, so that none takes it before a node listens there."""
+    """Return a free address outside the ephemeral ports, so that no connection takes it before a node listens there."""
     while True:
         address = f"127.0.0.1:{random.randrange(*PORTS)}"
         with suppress(OSError):
@@ -41,7 +41,7 @@
 
 
 def write_settings(folder, nodes):
-    """Write settings with this many control nodes; their file and their addresses."""
+    """Write settings with this many control nodes. Return the path of the file and the addresses of the nodes."""
     addresses = [free_address() for _ in range(nodes)]
     lines = [f'control_node("n{n}", region = "north", address = "{address}")\n' for n, address in enumerate(addresses)]
     path = folder / "control.star"
@@ -50,20 +50,22 @@
 
 
 class NodeProcess:
-    """`tansykeel control` as a process."""
+    """A control node that runs as a process of `tansykeel control`."""
 
     def __init__(self, path, number):
         self.path, self.number, self.process = path, number, None
 
     async def start(self):
-        words = ["-m", "tansykeel", "control", str(self.path), "--number", str(self.number), "--leashed"]
-        pipe, none = asyncio.subprocess.PIPE, asyncio.subprocess.DEVNULL
+        """Start the process, and wait until it reports that it is ready."""
+        arguments = ["-m", "tansykeel", "control", str(self.path), "--number", str(self.number), "--leashed"]
+        pipe, devnull = asyncio.subprocess.PIPE, asyncio.subprocess.DEVNULL
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *words, stdin=pipe, stdout=pipe, stderr=none
+            sys.executable, *arguments, stdin=pipe, stdout=pipe, stderr=devnull
         )
         assert json.loads(await self.process.stdout.readline())["event"] == "ready"
 
     async def end(self, with_signal=signal.SIGKILL):
+        """Send the process a signal if it still runs, and return its exit code."""
         if self.process.returncode is None:
             self.process.send_signal(with_signal)
         return await self.process.wait()
@@ -71,7 +73,7 @@
 
 @asynccontextmanager
 async def run_node_processes(folder, nodes=3):
-    """Yields the running nodes and their addresses."""
+    """Yield the running nodes and their addresses; end the nodes afterwards."""
     path, addresses = write_settings(folder, nodes)
     running = [NodeProcess(path, number) for number in range(nodes)]
     try:
@@ -83,7 +85,7 @@
 
 @asynccontextmanager
 async def run_first_node(folder, nodes=1):
-    """Yields the first of the region's nodes, in the test's own loop, and its address; the others do not run."""
+    """Run only the first of the region's nodes, in the test's event loop; yield its program and its address."""
     path, (address, *_) = write_settings(folder, nodes)
     program = ControlProgram(load(path), 0, 1)
     port = asyncio.get_running_loop().create_future()
@@ -98,13 +100,17 @@
 
 
 class Connection:
-    """One connection to a control node under any hello; `received` has its records, and last None."""
+    """A connection to a control node with any role and name.
+
+    `received` is a queue of the records that arrive; None follows when the connection has ended.
+    """
 
     def __init__(self, role, name):
         self.hello = Hello(1, role, name, 7)
         self.hub, self.received = Hub(Limits()), asyncio.Queue()
 
     async def connect(self, address):
+        """Connect to a control node and send the hello; return the connection itself."""
         sock = await connect(address, 5)
         self.link = Link(
             self.hub, sock, Codec("control"), self.hello, self._event, lambda *_: self.received.put_nowait(None)
@@ -116,33 +122,34 @@
             self.received.put_nowait(event.record)
 
     async def next(self, *kinds):
-        """The next record of one of these kinds, or None once the connection ended."""
+        """Return the next record of one of these types, or None when the connection has ended."""
         while (record := await self.received.get()) is not None and not isinstance(record, kinds):
             pass
         return record
 
     async def error(self):
-        """The text of the one error that ends the connection."""
+        """Return the text of the error with which the node ends the connection."""
         record = await self.next(Error)
-        assert await self.next(Error) is None, "more than one error, or the connection goes on"
+        assert await self.next(Error) is None, "the node sent more than one error"
         return record.text
 
 
 class Gateway:
-    """One gateway: a session by raw frames, and what it counts by its lease."""
+    """A gateway that holds a session with raw frames and counts units by its lease."""
 
     def __init__(self, name, addresses):
         self.name, self.addresses = name, addresses
         self.node, self.units, self.until, self.acknowledged = "", 0, 0, 0
 
     async def open(self, address, cluster="farm", region="north"):
+        """Connect to a node and ask for a session; return the node's answer."""
         self.connection = await Connection("gateway", self.name).connect(address)
         self.connection.link.send(0, SessionOpen(cluster, self.name, region))
         self.answer = await self.connection.received.get()
         return self.answer
 
     async def renew(self):
-        """One heartbeat; False where the node does not renew any more."""
+        """Send a heartbeat and take the renewed lease. Return False if the node no longer renews."""
         asked_at = clock()
         self.connection.link.send(0, Heartbeat(self.answer.session, asked_at, self.acknowledged))
         renewal = await self.connection.next(LeaseRenewal, Goodbye, Error)
@@ -155,10 +162,11 @@
         return True
 
     def counted(self):
+        """Return the units that the gateway counts now."""
         return self.units if clock() < self.until else 0
 
     async def hold(self, first):
-        """Hold a session for good: at the node of this number first, then at the next that accepts."""
+        """Hold a session until cancelled: first at the node with this number, after a loss at the next that accepts."""
         number = first
         while True:
             with suppress(OSError, TimeoutError):
@@ -171,19 +179,19 @@
 
 
 @asynccontextmanager
-async def run_gateways(addresses, most_seen):
-    """Yields six gateways that hold sessions; `most_seen` notes each sum of what they count together."""
-    found = [Gateway(f"edge-{number}", addresses) for number in range(6)]
+async def run_gateways(addresses, sums):
+    """Yield six gateways that hold sessions; the sum of the units they count is appended to `sums` periodically."""
+    gateways = [Gateway(f"edge-{number}", addresses) for number in range(6)]
 
     async def watch():
         while True:
-            most_seen.append(sum(gateway.counted() for gateway in found))
+            sums.append(sum(gateway.counted() for gateway in gateways))
             await asyncio.sleep(0.01)
 
-    tasks = [asyncio.create_task(gateway.hold(number)) for number, gateway in enumerate(found)]
+    tasks = [asyncio.create_task(gateway.hold(number)) for number, gateway in enumerate(gateways)]
     tasks.append(asyncio.create_task(watch()))
     try:
-        yield found
+        yield gateways
     finally:
         for task in tasks:
             task.cancel()
@@ -191,10 +199,10 @@
             assert isinstance(outcome, asyncio.CancelledError), outcome
 
 
-async def wait_until(so, seconds=12):
-    """Wait until something is so, and return after how many seconds that was."""
-    begun = asyncio.get_running_loop().time()
+async def wait_until(condition, seconds=12):
+    """Wait until the condition holds, at most this many seconds. Return the seconds that it took."""
+    started = asyncio.get_running_loop().time()
     async with asyncio.timeout(seconds):
-        while not so():
+        while not condition():
             await asyncio.sleep(0.02)
-    return asyncio.get_running_loop().time() - begun
+    return asyncio.get_running_loop().time() - started
