--- a/tansykeel/control/model_checker.py
+++ b/tansykeel/control/model_checker.py
@@ -313,8 +313,8 @@
         now = self.clock(connection.gateway)
         reactions = gateway.client.received(now, connection.node, answer)
         if isinstance(answer, LeaseRenewal):
-            counts = gateway.client.counts(now)
-            if (counts.node, counts.session, counts.lease) == (connection.node, answer.session, answer.lease):
+            lease = gateway.client.counts(now)
+            if (lease.node, lease.session, lease.lease) == (connection.node, answer.session, answer.lease):
                 grant = GrantId(connection.node, connection.node_incarnation, answer.session, answer.lease)
                 gateway = replace(gateway, counted=grant)
         self.gateways[connection.gateway] = gateway
--- a/tansykeel/control/model_walks.py
+++ b/tansykeel/control/model_walks.py
@@ -19,9 +19,7 @@
 
 SETTLING_ROUNDS = 12
 DISRUPTIVE_EVENTS = ("tick", "crashes", "restarts", "forms", "proposes", "leaves", "reopens", "breaks", "leads")
-ARRIVAL_PROBABILITY = (
-    0.5  # that a single event is a message's arrival, whenever it was sent and even if it arrived before
-)
+ARRIVAL_PROBABILITY = 0.5  # that a single event is the arrival of a message, new or old, delivered before or not
 DISRUPTION_PROBABILITY = 0.1  # that any other single event is a disruptive one
 RUN_LENGTH = 600  # events of a run, after which no further round or single event is started
 DELIVERY_PASSES = 4  # in a round: messages, the answers to them, and so on
