--- a/benchmarks/control_drills.py
+++ b/benchmarks/control_drills.py
@@ -29,8 +29,8 @@
     Gateway,
     NodeProcess,
     free_address,
-    gateways,
-    processes,
+    run_gateways,
+    run_node_processes,
 )
 
 from tansykeel.edge.ask import NotTold, query_fleet, request  # noqa: E402
@@ -88,9 +88,9 @@
 async def region() -> AsyncIterator[Region]:
     """Yields a region whose gateways are spread evenly and count all of its units."""
     sums: list[int] = []
-    async with processes(Path(tempfile.mkdtemp()), NODES) as (nodes, addresses):
+    async with run_node_processes(Path(tempfile.mkdtemp()), NODES) as (nodes, addresses):
         await Region(nodes, addresses, [], sums).all_in_view()
-        async with gateways(addresses, sums) as held:
+        async with run_gateways(addresses, sums) as held:
             made = Region(nodes, addresses, held, sums)
             await since(lambda: made.counted() >= ALMOST_ALL * REGION_UNITS)
             yield made
@@ -98,7 +98,7 @@
 
 async def since(is_so: Callable[[], bool]) -> float:
     """Wait until something is so, and return after how many seconds that was."""
-    return float(await control_stage.until(is_so, PATIENCE_S))
+    return float(await control_stage.wait_until(is_so, PATIENCE_S))
 
 
 async def leader_killed() -> tuple[float, float, float]:
--- a/benchmarks/control_mutants.py
+++ b/benchmarks/control_mutants.py
@@ -87,15 +87,15 @@
             setattr(self.owner, self.method, real)
 
 
-_follow, _release, _apply_renewal = BudgetAgent._follow, BudgetAgent._release, GatewaySession.apply_renewal
+_follow_view, _release, _apply_renewal = BudgetAgent._follow_view, BudgetAgent._release, GatewaySession.apply_renewal
 
 
 def keeps_its_term(self: BudgetAgent, now: int, view: Any) -> bool:
     """Go on with the record of before, whatever view was followed."""
     first, term, record, pending = self.view is None, self.term, self.record, self.pending
-    if not _follow(self, now, view) or first:
+    if not _follow_view(self, now, view) or first:
         return first
-    self.term, self.record, self.pending, self.registers = term, record, pending, True
+    self.term, self.record, self.pending, self.registering = term, record, pending, True
     return False
 
 
@@ -121,7 +121,7 @@
 MUTANTS = (
     Mutant("outstanding without drift", SessionTable, "outstanding_duration", lambda self, valid_for: valid_for),
     Mutant("acknowledged lease taken for over", SessionTable, "acknowledge", acknowledges_all),
-    Mutant("no new term", BudgetAgent, "_follow", keeps_its_term),
+    Mutant("no new term", BudgetAgent, "_follow_view", keeps_its_term),
     Mutant("grants what it released", BudgetAgent, "budget", lambda self: self.record.units if self.record else 0),
     Mutant(
         "releases what is outstanding",
@@ -139,7 +139,7 @@
     Mutant(
         "its own lease bounds no lease it grants",
         BudgetAgent,
-        "lease_left",
+        "remaining_lease",
         lambda self, now: self.terms.lease if self.lease_end > now else 0,
     ),
     Mutant("a grant between nodes binds nobody", LeaseTerms, "granter_duration", lambda self: 1),
--- a/tests/audit/test_control_planted.py
+++ b/tests/audit/test_control_planted.py
@@ -3,7 +3,14 @@
 from dataclasses import replace
 
 import pytest
-from planted_control import BudgetIgnored, CountsOn, FormedViewTrusted, GoesOnRenewing, KeepsTheMost, LeadsAlone
+from planted_control import (
+    CountsExpiredLease,
+    IgnoresBudget,
+    KeepsLargestUnits,
+    LeadsWithoutMajority,
+    RegistersWithoutWaiting,
+    RenewsWithoutLease,
+)
 
 from tansykeel.audit.control_findings import ControlRule
 from tansykeel.cluster.replicated_log import ReplicatedLog
@@ -54,7 +61,7 @@
 
 def test_a_lease_renewed_by_a_deposed_follower_is_named():
     """It is cut from the other nodes, and not from its gateways."""
-    simulation, found = played(TRIAL, agent=GoesOnRenewing)
+    simulation, found = played(TRIAL, agent=RenewsWithoutLease)
     (deposed,) = (who for rule, who in found if rule is ControlRule.NODE_LEASES)
     first = simulation.checker.findings[0]
     assert first.who == deposed and simulation.nodes[deposed].region == "region-0"
@@ -63,11 +70,11 @@
 
 
 def test_a_node_that_ignores_its_budget_is_named():
-    _, found = played(TRIAL, agent=BudgetIgnored, only="control-0-0")
+    _, found = played(TRIAL, agent=IgnoresBudget, only="control-0-0")
     assert found == {(ControlRule.SUMS, "region region-0"), (ControlRule.SUMS, "the whole")}
 
 
-@pytest.mark.parametrize("held", [CountsOn, KeepsTheMost])
+@pytest.mark.parametrize("held", [CountsExpiredLease, KeepsLargestUnits])
 def test_a_gateway_that_counts_what_it_was_not_granted_is_named(held):
     """By its claims alone: what reached it is in order."""
     simulation, found = played(replace(TRIAL, restarts=10), held=held)  # restarts make its lease shrink and grow
@@ -77,7 +84,7 @@
 
 
 def test_two_leaders_are_named():
-    simulation, found = played(TRIAL, replicated_log=LeadsAlone)
+    simulation, found = played(TRIAL, replicated_log=LeadsWithoutMajority)
     assert {rule for rule, _ in found} >= {ControlRule.ONE_LEADER}
     said = [finding.what for finding in simulation.checker.findings]
     assert any("with promises of 1 of 3 voters" in what for what in said)
@@ -86,7 +93,7 @@
 
 def test_a_formed_view_after_which_nobody_waits_is_named():
     """The leases that gateways hold outlive the nodes that granted them. It shows in about half of the trials."""
-    found = [played(replace(REFORMED, seed=seed), agent=FormedViewTrusted)[1] for seed in range(8)]
+    found = [played(replace(REFORMED, seed=seed), agent=RegistersWithoutWaiting)[1] for seed in range(8)]
     assert (ControlRule.SUMS, "region region-0") in set().union(*found)
 
 
--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from control_stage import REGION_UNITS, Connection, Gateway, one_node, until, written
+from control_stage import REGION_UNITS, Connection, Gateway, run_first_node, wait_until, write_settings
 from stage import run_test
 from typer.testing import CliRunner
 
@@ -72,11 +72,11 @@
 )
 def test_what_is_wrong_gets_one_error_and_others_are_served(tmp_path, role, name, sent, says):
     async def go():
-        async with one_node(tmp_path) as (_, address):
+        async with run_first_node(tmp_path) as (_, address):
             served = await lone_gateway(address)
             wrong = await Connection(role, name).connect(address)
             if isinstance(sent, bytes):
-                await until(lambda: not wrong.link.outgoing)  # the hello has left
+                await wait_until(lambda: not wrong.link.outgoing)  # the hello has left
                 wrong.link.sock.send(sent)
             elif sent is not None:
                 wrong.link.send(0, sent)
@@ -100,7 +100,7 @@
 )
 def test_a_control_node_that_is_none_of_the_cluster_is_rejected(tmp_path, sent, says):
     async def go():
-        async with one_node(tmp_path, nodes=3) as (program, address):
+        async with run_first_node(tmp_path, nodes=3) as (program, address):
             wrong = await Connection("control", "n1").connect(address)
             for record in sent:
                 wrong.link.send(0, record)
@@ -113,18 +113,18 @@
 
 def test_a_gateway_whose_connection_ends_holds_no_session_any_more(tmp_path):
     async def go():
-        async with one_node(tmp_path) as (program, address):
+        async with run_first_node(tmp_path) as (program, address):
             served = await lone_gateway(address)
             assert program.agent.status().sessions == 1
             served.connection.link.abort("the process is gone", reset=True)
-            await until(lambda: program.agent.status().sessions == 0, 0.5)
+            await wait_until(lambda: program.agent.status().sessions == 0, 0.5)
 
     run_test(go())
 
 
 def test_a_node_that_ends_says_goodbye_first(tmp_path):
     async def go():
-        async with one_node(tmp_path) as (program, address):
+        async with run_first_node(tmp_path) as (program, address):
             served = await lone_gateway(address)
             program.stopping.set()
             assert isinstance(await served.connection.received.get(), Goodbye)
@@ -134,11 +134,11 @@
 
 def test_connections_over_the_bound_are_told_so_and_those_there_are_served(tmp_path):
     async def go():
-        async with one_node(tmp_path) as (program, address):
+        async with run_first_node(tmp_path) as (program, address):
             served = await lone_gateway(address)
             program.most_connections = 2
             await Connection("gateway", "edge-1").connect(address)
-            await until(lambda: len(program.last_received) == 2)
+            await wait_until(lambda: len(program.last_received) == 2)
             late = await Connection("gateway", "edge-2").connect(address)
             assert "2 connections are open here already" in await late.error()
             assert await served.renew()
@@ -151,7 +151,7 @@
     monkeypatch.setattr(control_program, "SWEEP_SECONDS", 0.1)
 
     async def go():
-        async with one_node(tmp_path) as (_, address):
+        async with run_first_node(tmp_path) as (_, address):
             served = await lone_gateway(address)
             silent = asyncio.create_task((await Connection("gateway", "edge-1").connect(address)).error())
             while not silent.done():
@@ -165,13 +165,13 @@
 
 def test_a_peer_that_reads_nothing_is_dropped_and_holds_little_memory(tmp_path):
     async def go():
-        async with one_node(tmp_path) as (program, address):
+        async with run_first_node(tmp_path) as (program, address):
             served = await lone_gateway(address)
             deaf = socket.create_connection(address_of(address))
             deaf.setblocking(False)
             frames = pack(0, Hello(1, "client", "deaf")) + 100_000 * pack(1, ControlStatusRequest())
             sending = asyncio.create_task(asyncio.get_running_loop().sock_sendall(deaf, frames))
-            await until(lambda: len(program.last_received) == 2)
+            await wait_until(lambda: len(program.last_received) == 2)
             most_waiting = 0
             while len(program.last_received) == 2:  # until it is dropped for taking nothing
                 assert await served.renew()
@@ -186,7 +186,7 @@
 
 def test_a_view_is_formed_without_names_that_an_operator_says_never_come(tmp_path):
     async def go():
-        async with one_node(tmp_path, nodes=3) as (_, address):
+        async with run_first_node(tmp_path, nodes=3) as (_, address):
             assert (await query_fleet(address, 5)).number == 0
             with pytest.raises(NotTold, match="'n7' is no other member in the settings"):
                 await declare_gone(address, ("n7",), 5)
@@ -203,7 +203,7 @@
         raise AssertionError("planted")
 
     async def go():
-        path, _ = written(tmp_path, 1)
+        path, _ = write_settings(tmp_path, 1)
         program = ControlProgram(load(path), 0, 1)
         monkeypatch.setattr(ControlNode, "tick", fails)
         assert await program.serve() == EXIT_FAILED
@@ -216,7 +216,7 @@
         return asyncio.to_thread(CliRunner().invoke, app, ["control-status", *words])
 
     async def go():
-        async with one_node(tmp_path) as (_, address):
+        async with run_first_node(tmp_path) as (_, address):
             await lone_gateway(address)
             table = await run(address)
             assert table.exit_code == 0 and "n0 of region north, cluster farm: view" in table.output
@@ -231,7 +231,7 @@
 
 def test_a_node_without_a_lease_is_told_by_the_exit_code(tmp_path):
     async def go():
-        async with one_node(tmp_path, nodes=3) as (_, address):
+        async with run_first_node(tmp_path, nodes=3) as (_, address):
             told = await asyncio.to_thread(CliRunner().invoke, app, ["control-status", address])
             assert told.exit_code == 1 and "no lease: it grants nothing" in told.output
 
@@ -248,14 +248,14 @@
     ],
 )
 def test_a_node_starts_on_nothing_that_is_wrong(tmp_path, change, words, says):
-    path, _ = written(tmp_path, 3)
+    path, _ = write_settings(tmp_path, 3)
     path.write_text(path.read_text().replace(*change) if change[0] else path.read_text())
     told = CliRunner().invoke(app, ["control", str(path), "--number", "0", *words])
     assert told.exit_code == 2 and says in told.output
 
 
 def test_a_node_whose_address_is_taken_says_which(tmp_path):
-    path, (address,) = written(tmp_path, 1)
+    path, (address,) = write_settings(tmp_path, 1)
     with socket.create_server(address_of(address)):
         told = CliRunner().invoke(app, ["control", str(path), "--number", "0"])
     assert told.exit_code == 2 and f"{address}: " in told.output and "in use" in told.output
--- a/tests/planted_control.py
+++ b/tests/planted_control.py
@@ -1,6 +1,6 @@
-"""Parts of control nodes and gateways with a fault in them, to be named by the checker of the control plane.
+"""Parts of control nodes and gateways with planted faults, which the checker of the control plane has to detect.
 
-Each takes the place of the real part in one that was made already: `part.__class__ = ...`.
+Each replaces the class of a part that already exists: `part.__class__ = ...`.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 SECOND = 10_000  # tenths of a millisecond
 
 
-class GoesOnRenewing(BudgetAgent):
-    """Renews leases also when its own lease on the view is over."""
+class RenewsWithoutLease(BudgetAgent):
+    """Renews leases even after the node's own lease on the view has expired."""
 
-    def lease_left(self, now: int) -> int:
-        return super().lease_left(now) or self.terms.lease
+    def remaining_lease(self, now: int) -> int:
+        return super().remaining_lease(now) or self.terms.lease
 
 
-class BudgetIgnored(BudgetAgent):
-    """Grants each of its gateways all that there is."""
+class IgnoresBudget(BudgetAgent):
+    """Grants each of the node's gateways all units of all regions."""
 
     def budget(self) -> int:
         return WHOLE_UNITS
@@ -32,16 +32,16 @@
         return WHOLE_UNITS
 
 
-class FormedViewTrusted(BudgetAgent):
-    """Registers as soon as a view that all formed is active, as if nobody counted what earlier lives granted."""
+class RegistersWithoutWaiting(BudgetAgent):
+    """Registers as soon as a formed view is active, although leases of earlier incarnations may still count."""
 
     def may_register(self, now: int) -> bool:
         self.register_from = now
         return super().may_register(now)
 
 
-class LeadsAlone(ReplicatedLog):
-    """Leads with its own promise alone, without a majority, and as a follower forgets what it promised."""
+class LeadsWithoutMajority(ReplicatedLog):
+    """Leads without the promises of a majority, and forgets as a follower what it promised."""
 
     def handle_message(self, now, sender, message: LogMessage):
         self.promised = ZERO_BALLOT
@@ -55,16 +55,16 @@
         return sent
 
 
-class CountsOn(HeldLease):
-    """Counts by its lease for a second more than that lasts."""
+class CountsExpiredLease(HeldLease):
+    """Counts a lease for one second after it has expired."""
 
     def replace(self, now: int, lease: EffectiveLease) -> None:
-        longer = replace(lease, until=lease.until + SECOND) if lease.units else lease
-        super().replace(now, longer)
+        extended = replace(lease, until=lease.until + SECOND) if lease.units else lease
+        super().replace(now, extended)
 
 
-class KeepsTheMost(HeldLease):
-    """Never counts less than it did, though it acknowledges the smaller lease."""
+class KeepsLargestUnits(HeldLease):
+    """Counts no fewer units when a lease shrinks, although it acknowledges the smaller lease."""
 
     def replace(self, now: int, lease: EffectiveLease) -> None:
         units = max(lease.units, self._lease.units)
--- a/tests/rehearse/test_control_on_sockets.py
+++ b/tests/rehearse/test_control_on_sockets.py
@@ -8,7 +8,7 @@
 import pytest
 import structlog
 from control_node_script import control_settings, settings_of
-from planted_control import BudgetIgnored, CountsOn, GoesOnRenewing, LeadsAlone
+from planted_control import CountsExpiredLease, IgnoresBudget, LeadsWithoutMajority, RenewsWithoutLease
 from stage import free_address, run_test, until
 
 from tansykeel.audit.control import check_folder, facts_of
@@ -47,7 +47,7 @@
         for node in self.nodes:
             plant(node.agent.node)
             self.serving.append(asyncio.create_task(node.serve()))
-        await until(lambda: any(node.agent.node.budget.lease_left(clock()) for node in self.nodes))
+        await until(lambda: any(node.agent.node.budget.remaining_lease(clock()) for node in self.nodes))
         self.gateways.hub.start()
         for gateway in self.gateways:
             gateway.start()
@@ -128,10 +128,10 @@
 @pytest.mark.parametrize(
     ("plant", "rule"),
     [
-        (plant_in("ControlNode", "budget", GoesOnRenewing), ControlRule.NODE_LEASES),
-        (plant_in("ControlNode", "budget", BudgetIgnored), ControlRule.SUMS),
-        (plant_in("ControlNode", "replicated_log", LeadsAlone), ControlRule.ONE_LEADER),
-        (plant_in("SessionClient", "_held", CountsOn), ControlRule.GATEWAY_LEASES),
+        (plant_in("ControlNode", "budget", RenewsWithoutLease), ControlRule.NODE_LEASES),
+        (plant_in("ControlNode", "budget", IgnoresBudget), ControlRule.SUMS),
+        (plant_in("ControlNode", "replicated_log", LeadsWithoutMajority), ControlRule.ONE_LEADER),
+        (plant_in("SessionClient", "_held", CountsExpiredLease), ControlRule.GATEWAY_LEASES),
     ],
 )
 def test_a_planted_fault_is_named(tmp_path, plant, rule):
