--- a/tansykeel/platform/clients.py
+++ b/tansykeel/platform/clients.py
@@ -323,7 +323,7 @@
         """Return the bytes of answers that clients have not taken yet."""
         return sum(len(client.stream.unsent) for client in self.conns)
 
-    def look(self) -> None:
+    def check_timeouts(self) -> None:
         """End every connection that has stalled, sent no whole request or idled for too long."""
         now = self.now()
         for client in list(self.conns):
--- a/tansykeel/platform/periodic_checks.py
+++ b/tansykeel/platform/periodic_checks.py
@@ -68,7 +68,7 @@
                 await asyncio.sleep(READ_DELAY)
             self.gateway.stalls.beat(self.now())
             for check in (
-                gateway.clients.look,
+                gateway.clients.check_timeouts,
                 gateway.stores.check_timeouts,
                 gateway.discovery.check_timeouts,
                 self._answer_overdue,
--- a/tests/platform/test_final_answers.py
+++ b/tests/platform/test_final_answers.py
@@ -43,7 +43,7 @@
                 calls.append(part)
                 raise ArithmeticError("planted")
 
-            monkeypatch.setattr(checked, "look", fails)
+            monkeypatch.setattr(checked, "check_timeouts", fails)
             await until(lambda: len(calls) > 2)
             idle = await stage.client()
             if part != "clients":
--- a/tests/platform/test_gateway.py
+++ b/tests/platform/test_gateway.py
@@ -168,14 +168,14 @@
             gateway, client = stage.gateway, await stage.client()
             await until(lambda: gateway.core.list_version >= 0)
             right, gateway.core.addresses[gateway.core.stores["s0"]] = store.address, "127.0.0.1:1"
-            look, left = gateway.stores.may_open_connection, [fails]
+            may_open, left = gateway.stores.may_open_connection, [fails]
 
             def room(evict=True):
                 if evict and not left[0]:
                     gateway.core.addresses[gateway.core.stores["s0"]] = right
                 elif evict:
                     left[0] -= 1
-                return look(evict)
+                return may_open(evict)
 
             gateway.stores.may_open_connection = room
             assert (await client.ask(1)).status == 200
@@ -275,9 +275,9 @@
             clients: Clients = stage.gateway.clients
             first = await stage.client()
             assert (await first.ask(1)).status == 200
-            clients.look()
+            clients.check_timeouts()
             await asyncio.sleep(0.1)
-            clients.look()
+            clients.check_timeouts()
             assert len(clients.conns) == 1  # not crowded yet
             clients.max_connections = 8
             for id in range(2, 4):
--- a/tests/platform/test_slow.py
+++ b/tests/platform/test_slow.py
@@ -30,7 +30,7 @@
             clients.make_room()
             assert not clients.close_one_for_descriptor()
             clients.close_idle()
-            clients.look()
+            clients.check_timeouts()
             slow.writer.transport.resume_reading()
             assert len((await slow.answer()).body) == 1_000_000
             await until(lambda: clients.close_one_for_descriptor() or not clients.conns)
@@ -66,7 +66,7 @@
             now = clients.now()
             clients.now, closed_count, read = (lambda: now), 0, b""
             client.since = now
-            clients.look()
+            clients.check_timeouts()
             for _ in range(4):
                 now += 4.0
                 unsent_before = len(client.stream.unsent)
@@ -74,7 +74,7 @@
                     read += await read_part(slow, 100_000)
                     await until(lambda unsent_before=unsent_before: len(client.stream.unsent) < unsent_before)
                     assert client.stream.unsent, "a part of the answer has to be unsent at each check"
-                clients.look()
+                clients.check_timeouts()
                 closed_count += client.stream.closed
             assert (closed_count > 0) is not reads
             if reads:
