--- a/tansykeel/cluster/failure_detector.py
+++ b/tansykeel/cluster/failure_detector.py
@@ -190,7 +190,7 @@
             ]
         return sent
 
-    def heard(self, now: int, sender: str, message: DetectorMessage) -> list[OutgoingMessage]:
+    def handle_message(self, now: int, sender: str, message: DetectorMessage) -> list[OutgoingMessage]:
         """Handle a message from another member. Messages from unknown members are ignored."""
         if sender not in self.others:
             return []
--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -55,8 +55,8 @@
 class ClusterMember:
     """Combines the failure detector, the view agreement and the replicated log of one member.
 
-    `tick` has to be called when it is due, and `heard` for each message that arrives. Each call returns the messages to
-    send.
+    `tick` has to be called when it is due, and `handle_message` for each message that arrives. Each call returns the
+    messages to send.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
         self._record_part(now)
         return sent
 
-    def heard(self, now: int, sender: Member, message: ClusterMessage) -> list[OutgoingMessage]:
+    def handle_message(self, now: int, sender: Member, message: ClusterMessage) -> list[OutgoingMessage]:
         """Handle a message from another member."""
         sent = self._heard(now, sender, message)
         self._sync_log(now)
@@ -174,7 +174,7 @@
         self.failure_detector.observe_incarnation(now, sender.name, sender.incarnation)
         self.without.discard(sender.name)  # the operator's statement was wrong, or does not hold any more
         if isinstance(message, Ping | Ack | Try | NoAnswer):
-            return list(self.failure_detector.heard(now, sender.name, message))
+            return list(self.failure_detector.handle_message(now, sender.name, message))
         if isinstance(message, replicated_log.LogMessage):
             return self._handle_log_message(now, sender, message)
         return self._drop_repeated_views(now, self.agreement.handle_message(now, sender, message))
--- a/tansykeel/control/node.py
+++ b/tansykeel/control/node.py
@@ -120,7 +120,7 @@
 
     def handle_node_message(self, now: int, sender: Member, message: ClusterMessage) -> list[NodeAction]:
         """Handle a message of another control node of the region; it may be late or a duplicate."""
-        return self._update_budget(now, self.member.heard(now, sender, message))
+        return self._update_budget(now, self.member.handle_message(now, sender, message))
 
     def handle_gateway_record(
         self, now: int, connection: ConnectionId, incarnation: int, record: Fields
--- a/tansykeel/edge/cluster_agent.py
+++ b/tansykeel/edge/cluster_agent.py
@@ -89,7 +89,7 @@
         """Process a WATCH frame of the gateway that sent this HELLO. Raises ProtocolError if it holds no message."""
         if not self.stopped and (received := self.connections.received(hello, watch)) is not None:
             now = clock()
-            self._finish_step(now, self.cluster_member.heard(now, *received))
+            self._finish_step(now, self.cluster_member.handle_message(now, *received))
 
     def status(self) -> FleetTold:
         """Return this gateway's view of the cluster, for an operator."""
--- a/tansykeel/emulator/cluster_simulation.py
+++ b/tansykeel/emulator/cluster_simulation.py
@@ -163,7 +163,7 @@
         if (until := self.until.get(to, 0)) > self.engine.now:
             self.engine.at(until + 2, self._arrive, to, sender, word)  # it waits in the socket
             return
-        self._step(to, lambda: self.all[to].heard(self.now(), sender, word))
+        self._step(to, lambda: self.all[to].handle_message(self.now(), sender, word))
         self.engine.at(max(self.all[to].due() * TENTH, self.engine.now + 1), self._due, to)
 
     def _due(self, name: str) -> None:
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -276,7 +276,7 @@
         self._arm()
 
     def heard(self, sender: Member, word: ClusterMessage) -> None:
-        self._say(self.cluster_member.heard(self.gateway.clock(), sender, word))
+        self._say(self.cluster_member.handle_message(self.gateway.clock(), sender, word))
         self._arm()
 
     def leave(self) -> None:
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -171,7 +171,7 @@
         if (until := self.stalled.get(to, 0)) > self.engine.now:
             self.engine.at(until + 2, self._arrive, to, sender, word)
             return
-        self._send(to, self.cluster_members[to].heard(self.now(), sender, word))
+        self._send(to, self.cluster_members[to].handle_message(self.now(), sender, word))
 
     def _look(self, name: str, boot: int) -> None:
         """What whoever leads does from time to time."""
--- a/tests/cluster/test_failure_detector.py
+++ b/tests/cluster/test_failure_detector.py
@@ -35,7 +35,7 @@
         for _ in range(3):
             to, seq = next_ping(detector)
             pinged.append(to)
-            detector.heard(detector.due() - 1, to, Ack(seq))
+            detector.handle_message(detector.due() - 1, to, Ack(seq))
         assert sorted(pinged) == ["b", "c", "d"]
     assert detector.health_score == 0
 
@@ -46,20 +46,20 @@
     tries = detector.tick(detector.due())
     assert sorted(name for name, _ in tries) == sorted({"b", "c", "d"} - {to})
     assert all(message == Try(seq, to, message.news) for _, message in tries)
-    detector.heard(detector.due() - 1, tries[0][0], Ack(seq))
+    detector.handle_message(detector.due() - 1, tries[0][0], Ack(seq))
     while detector.due() < 3 * SECOND:
         for name, message in detector.tick(detector.due()):
             if isinstance(message, Ping):
-                detector.heard(detector.due() - 1, name, Ack(message.seq))
+                detector.handle_message(detector.due() - 1, name, Ack(message.seq))
     assert detector.others[to].state is MemberState.ALIVE
 
 
 def test_a_helper_forwards_an_ack_and_reports_a_missing_one():
     helper = make_detector("b")
-    ((to, ping),) = helper.heard(0, "a", Try(7, "c"))
-    ((back, answer),) = helper.heard(10, "c", Ack(ping.seq))
+    ((to, ping),) = helper.handle_message(0, "a", Try(7, "c"))
+    ((back, answer),) = helper.handle_message(10, "c", Ack(ping.seq))
     assert (to, back, type(answer), answer.seq) == ("c", "a", Ack, 7)
-    ((_, ping),) = helper.heard(20, "a", Try(8, "d"))
+    ((_, ping),) = helper.handle_message(20, "a", Try(8, "d"))
     helper.next_probe = 10 * SECOND
     sent = helper.tick(helper.due())
     assert ("a", NoAnswer, 8) in [(name, type(message), message.seq) for name, message in sent]
@@ -73,7 +73,7 @@
         tries = detector.tick(detector.due())
         if answered:
             for name, _ in tries:
-                detector.heard(detector.due() - 1, name, NoAnswer(seq))
+                detector.handle_message(detector.due() - 1, name, NoAnswer(seq))
         detector.next_probe = 10 * SECOND
         detector.tick(detector.due())
         scores.append(detector.health_score)
@@ -84,7 +84,7 @@
     """Guards against a member that was suspended for seconds and declares all others dead when it resumes."""
     detector = make_detector()
     to, _ = next_ping(detector)
-    detector.heard(1, "b", Ping(1, (GossipItem("c", MemberState.SUSPECT, 1, 0, "b"),)))
+    detector.handle_message(1, "b", Ping(1, (GossipItem("c", MemberState.SUSPECT, 1, 0, "b"),)))
     deadline = detector.suspicion_deadlines[detector.others["c"]]
     resumed = detector.due() + 100 * SECOND
     assert detector.tick(resumed) == [] and detector.health_score == detector.config.max_health_score
@@ -107,21 +107,23 @@
 
 def test_a_refutation_makes_a_suspected_member_alive_again():
     suspected, other = make_detector("a"), make_detector("b")
-    other.heard(0, "c", Ping(1, (GossipItem("a", MemberState.SUSPECT, 1, 0, "c"),)))
+    other.handle_message(0, "c", Ping(1, (GossipItem("a", MemberState.SUSPECT, 1, 0, "c"),)))
     assert other.others["a"].state is MemberState.SUSPECT
-    suspected.heard(0, "c", Ping(1, (GossipItem("a", MemberState.SUSPECT, 1, 0, "c"),)))
-    ((_, ack),) = suspected.heard(0, "b", Ping(2))
-    other.heard(1, "a", ack)
+    suspected.handle_message(0, "c", Ping(1, (GossipItem("a", MemberState.SUSPECT, 1, 0, "c"),)))
+    ((_, ack),) = suspected.handle_message(0, "b", Ping(2))
+    other.handle_message(1, "a", ack)
     assert other.others["a"].state is MemberState.ALIVE and other.others["a"].refutations == 1
-    other.heard(2, "c", Ping(2, (GossipItem("a", MemberState.SUSPECT, 1, 0, "d"),)))  # the refuted suspicion, late
+    other.handle_message(
+        2, "c", Ping(2, (GossipItem("a", MemberState.SUSPECT, 1, 0, "d"),))
+    )  # the refuted suspicion, late
     assert other.others["a"].state is MemberState.ALIVE
 
 
 def test_a_refutation_is_sent_before_join_announcements():
     detector = FailureDetector("a", [f"g{n}" for n in range(50)], 1, DetectorConfig(), Random(1), 0)
-    detector.heard(0, "g1", Ping(1, tuple(GossipItem(f"g{n}", MemberState.ALIVE, 1, 0) for n in range(2, 50))))
-    detector.heard(0, "g1", Ping(2, (GossipItem("a", MemberState.SUSPECT, 1, 0, "g1"),)))
-    ((_, ack),) = detector.heard(0, "g2", Ping(3))
+    detector.handle_message(0, "g1", Ping(1, tuple(GossipItem(f"g{n}", MemberState.ALIVE, 1, 0) for n in range(2, 50))))
+    detector.handle_message(0, "g1", Ping(2, (GossipItem("a", MemberState.SUSPECT, 1, 0, "g1"),)))
+    ((_, ack),) = detector.handle_message(0, "g2", Ping(3))
     assert (
         ack.news[0] == GossipItem("a", MemberState.ALIVE, 1, 1) and len(ack.news) == len(detector.others) // 3
     )  # a third of a long queue goes into one message
@@ -132,7 +134,7 @@
     for suspecting in ("c", "cd"):
         detector = make_detector("b")
         for by in suspecting:
-            detector.heard(0, by, Ping(1, (GossipItem("a", MemberState.SUSPECT, 1, 0, by),)))
+            detector.handle_message(0, by, Ping(1, (GossipItem("a", MemberState.SUSPECT, 1, 0, by),)))
         deadlines.append(detector.suspicion_deadlines[detector.others["a"]])
     assert deadlines[1] < deadlines[0] == 6 * SECOND
     detector.next_probe = 100 * SECOND
@@ -142,11 +144,11 @@
 
 def test_a_member_that_failed_repeatedly_takes_longer_to_count_as_stable():
     detector = make_detector()
-    detector.heard(0, "b", Ping(1, alive_items("b", "c")))
+    detector.handle_message(0, "b", Ping(1, alive_items("b", "c")))
     assert detector.stable_members(2 * SECOND) == ["a", "b", "c"]  # d was never heard of
     for life in (2, 3):
-        detector.heard(2 * SECOND, "c", Ping(life, (GossipItem("b", MemberState.DEAD, life - 1, 0, "c"),)))
-        detector.heard(2 * SECOND, "c", Ping(life, alive_items("b", life=life)))
+        detector.handle_message(2 * SECOND, "c", Ping(life, (GossipItem("b", MemberState.DEAD, life - 1, 0, "c"),)))
+        detector.handle_message(2 * SECOND, "c", Ping(life, alive_items("b", life=life)))
     assert detector.stable_members(4 * SECOND) == ["a", "c"]
     assert detector.stable_members(2 * SECOND + 32 * SECOND) == ["a", "b", "c"]
     assert detector.others["b"].failures
@@ -169,7 +171,7 @@
     for order in (items, shuffled):
         detector = make_detector()
         for seq, item in enumerate(order):
-            detector.heard(0, "c", Ping(seq, (item,)))
+            detector.handle_message(0, "c", Ping(seq, (item,)))
         other = detector.others["b"]
         results.append((other.incarnation, other.refutations, other.state))
     assert (
@@ -198,13 +200,13 @@
     """
     detector = make_detector("a")
     dead = GossipItem("a", MemberState.DEAD, 1, 0, "b")
-    ((_, ack),) = detector.heard(0, "b", Ping(1, (dead,)))
+    ((_, ack),) = detector.handle_message(0, "b", Ping(1, (dead,)))
     assert GossipItem("a", MemberState.ALIVE, 1, 1) in ack.news
     for seq in range(20):
-        detector.heard(1, "c", Ping(seq))
-    ((_, without_gossip),) = detector.heard(2, "c", Ping(30))
+        detector.handle_message(1, "c", Ping(seq))
+    ((_, without_gossip),) = detector.handle_message(2, "c", Ping(30))
     assert without_gossip.news == ()
-    ((_, again),) = detector.heard(3, "b", Ping(2, (dead,)))
+    ((_, again),) = detector.handle_message(3, "b", Ping(2, (dead,)))
     assert GossipItem("a", MemberState.ALIVE, 1, 1) in again.news and detector.refutations == 1
 
 
@@ -212,7 +214,7 @@
     leaving, other = make_detector("a"), make_detector("b")
     sent = leaving.leave(5)
     assert sorted(name for name, _ in sent) == sorted(leaving.others)
-    other.heard(6, "a", dict(sent)["b"])
+    other.handle_message(6, "a", dict(sent)["b"])
     assert other.others["a"].state is MemberState.DEAD
-    ((_, ack),) = leaving.heard(7, "b", Ping(3, (GossipItem("a", MemberState.DEAD, 1, 0, "b"),)))
+    ((_, ack),) = leaving.handle_message(7, "b", Ping(3, (GossipItem("a", MemberState.DEAD, 1, 0, "b"),)))
     assert all(item.seems is MemberState.DEAD for item in ack.news) and leaving.refutations == 0
--- a/tests/cluster/test_member.py
+++ b/tests/cluster/test_member.py
@@ -107,7 +107,7 @@
         agreement = cluster_member.agreement
         agreement.view, agreement.active = View(1, members, members), True
         agreement.grants = dict.fromkeys(members, 10**9)
-        cluster_member.failure_detector.heard(
+        cluster_member.failure_detector.handle_message(
             0, "b" if name != "b" else "a", Ping(1, (GossipItem("c", MemberState.DEAD, 1, 0),))
         )
     assert cluster_members["a"]._propose_change(0, 0) != [] and cluster_members["b"]._propose_change(0, 0) == []
