--- a/tansykeel/edge/ask.py
+++ b/tansykeel/edge/ask.py
@@ -35,9 +35,9 @@
     return await request(address, FleetWithout(names), FleetTold, seconds)
 
 
-async def exchange_maintenance(address: str, word: MaintenanceMessage, seconds: float) -> MaintenanceMessage:
+async def exchange_maintenance(address: str, message: MaintenanceMessage, seconds: float) -> MaintenanceMessage:
     """Send a maintenance message to a gateway and return its answer. Raises NotTold, also for an invalid address."""
-    answer = await request(address, Accord(*CODEC.encode(word)), AccordTold, seconds)
+    answer = await request(address, Accord(*CODEC.encode(message)), AccordTold, seconds)
     try:
         return CODEC.decode(answer.what, answer.word)
     except MessageError as error:
--- a/tansykeel/edge/core.py
+++ b/tansykeel/edge/core.py
@@ -224,10 +224,10 @@
         self.decision_module.list_failed()
         self.runner.run_pending()
 
-    def receive_peer_message(self, now: int, sender: int, word: PeerMessage) -> None:
+    def receive_peer_message(self, now: int, sender: int, message: PeerMessage) -> None:
         """Pass a message of another gateway on to the decision module."""
         self.runner.advance_clock(now)
-        self.decision_module.on_peer_message(sender, word)
+        self.decision_module.on_peer_message(sender, message)
         self.runner.run_pending()
 
     def run_timers(self, now: int) -> None:
@@ -284,9 +284,9 @@
         """Ask the list service for the list of stores and its changes."""
         self.io.request_store_list()
 
-    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
+    def send_to_peer(self, peer: int | None, message: PeerMessage) -> None:
         """Send a message to another gateway, or to all others where `peer` is None."""
-        self.io.send_to_peer(peer, word)
+        self.io.send_to_peer(peer, message)
 
     def log(self, text: str) -> None:
         """Write a log line of the decision module."""
--- a/tansykeel/edge/native.py
+++ b/tansykeel/edge/native.py
@@ -57,14 +57,16 @@
         )
         return ParsedRequest(task, request.body, request.size, fault)
 
-    def word_from_share(self, share: Share) -> PeerMessage | None:
+    def message_from_share(self, share: Share) -> PeerMessage | None:
         """Return another gateway's message as the module's record, None where its volume is not in the settings."""
         volume = self.volumes.get(share.volume) if share.volume is not None else None
         return PeerMessage(volume, share.units, share.gift) if volume is not None or share.volume is None else None
 
-    def share_from_word(self, word: PeerMessage) -> Share:
+    def share_from_message(self, message: PeerMessage) -> Share:
         """Return the SHARE frame for a message to other gateways."""
-        return Share(self.facts.gateway_index, word.volume.handle if word.volume else None, word.units, word.is_grant)
+        return Share(
+            self.facts.gateway_index, message.volume.handle if message.volume else None, message.units, message.is_grant
+        )
 
 
 def bounds_of(gateway: Gateway) -> Bounds:
--- a/tansykeel/edge/program.py
+++ b/tansykeel/edge/program.py
@@ -257,10 +257,10 @@
         if self.list_client:
             self.list_client.request()
 
-    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
+    def send_to_peer(self, peer: int | None, message: PeerMessage) -> None:
         """Send a message to another gateway, or to all others where `peer` is None."""
         if self.peers:
-            self.peers.send(peer, Urgency.HINT, self.native.share_from_word(word))
+            self.peers.send(peer, Urgency.HINT, self.native.share_from_message(message))
 
     def log_event(self, event: str, **fields: Any) -> None:
         """Write a line of the log."""
@@ -320,8 +320,8 @@
         """Handle a message of another gateway, on whichever connection it came."""
         match message:
             case Share():
-                if word := self.native.word_from_share(message):
-                    self.core.receive_peer_message(clock(), message.sender, word)
+                if peer_message := self.native.message_from_share(message):
+                    self.core.receive_peer_message(clock(), message.sender, peer_message)
             case Watch():
                 if self.cluster_agent and link.peer:
                     self.cluster_agent.received(link.peer, message)
@@ -344,20 +344,20 @@
         if self.maintenance_agent is None:
             raise ProtocolError("ACCORD: this gateway gives no leave; legal: one whose settings have accord(...)")
         try:
-            word = CODEC.decode(frame.what, frame.word)
+            message = CODEC.decode(frame.what, frame.word)
         except MessageError as error:
             raise ProtocolError(f"ACCORD: {error}") from None
-        if isinstance(word, Figures):
+        if isinstance(message, Figures):
             if link.peer and link.peer.role != "client":
-                self.maintenance_agent.figures_received(link.peer.name, word)
+                self.maintenance_agent.figures_received(link.peer.name, message)
             return
         self.maintenance_agent.received(
-            word, lambda answer: None if link.lost else link.send(stream, AccordTold(*CODEC.encode(answer)))
+            message, lambda answer: None if link.lost else link.send(stream, AccordTold(*CODEC.encode(answer)))
         )
 
-    def _send_to_gateway(self, name: str, word: MaintenanceMessage) -> None:
+    def _send_to_gateway(self, name: str, message: MaintenanceMessage) -> None:
         if self.peers and name in self.peers.by_name:
-            self.peers.by_name[name].send(Urgency.HINT, Accord(*CODEC.encode(word)))
+            self.peers.by_name[name].send(Urgency.HINT, Accord(*CODEC.encode(message)))
 
     def _on_lost(self, link: Link, why: str) -> None:
         self.clients.discard(link)
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -151,7 +151,7 @@
         """Ask the list service for the list of stores and its changes."""
         ...
 
-    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
+    def send_to_peer(self, peer: int | None, message: PeerMessage) -> None:
         """Send a message to another gateway, or to all others where `peer` is None."""
         ...
 
@@ -217,7 +217,7 @@
         """Return the generator that decides about a task."""
         ...
 
-    def on_peer_message(self, peer: int, word: PeerMessage) -> None:
+    def on_peer_message(self, peer: int, message: PeerMessage) -> None:
         """Another gateway sent a message."""
         ...
 
--- a/tansykeel/emulator/gateway.py
+++ b/tansykeel/emulator/gateway.py
@@ -138,7 +138,7 @@
             self.fellow.heard(sender, word)
 
     def share(self, share: Share) -> None:
-        if word := self.native.word_from_share(share):
+        if word := self.native.message_from_share(share):
             self.core.receive_peer_message(self.clock(), share.sender, word)
 
     # GatewayIO: what the core wants done
@@ -171,7 +171,7 @@
         self.engine.after(self.scene.ways.to_list(), self.scene.list.ask, self, self.life)
 
     def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
-        share = self.native.share_from_word(word)
+        share = self.native.share_from_message(word)
         for other in self.fleet if peer is None else [self.fleet[peer]]:
             if other.alive and other is not self:
                 self.engine.after(self.scene.ways.client(), other.tell, other.life, other.share, share)
--- a/tansykeel/platform/program.py
+++ b/tansykeel/platform/program.py
@@ -329,7 +329,7 @@
         if self._discovery:  # None while the core is constructed
             self._discovery.ensure_watch()
 
-    def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
+    def send_to_peer(self, peer: int | None, message: PeerMessage) -> None:
         pass  # the platform's settings allow no connection between gateways
 
     def log_event(self, event: str, **fields: Any) -> None:
