--- a/tansykeel/cluster/member.py
+++ b/tansykeel/cluster/member.py
@@ -35,7 +35,7 @@
 
 
 class MemberStillAlive(Problem, ValueError):
-    """A view can't be formed without a gateway that is there, or that is none."""
+    """A view can't be formed without a member that is considered alive, or without a name that is no member's."""
 
     advice = "stop the process that runs under the name first, or name one that does not run"
 
--- a/tansykeel/cluster/messages.py
+++ b/tansykeel/cluster/messages.py
@@ -29,9 +29,9 @@
 
 
 class MessageError(Problem, ValueError):
-    """Another cluster member sent what is no message of the cluster."""
+    """Another cluster member sent a message that is not part of the cluster protocol."""
 
-    advice = "look at the version of the gateway that is named: all members of a cluster speak the same messages"
+    advice = "check the version of the member that is named: all members of a cluster have to run the same one"
 
 
 CODEC = MessageCodec[ClusterMessage](
--- a/tansykeel/cluster/model_checker.py
+++ b/tansykeel/cluster/model_checker.py
@@ -50,7 +50,7 @@
 
 
 class NoFirstView(Problem, ValueError):
-    """A search of orders of events can't begin."""
+    """The model checker could not form a first view to start from."""
 
     advice = "give terms under which the gateways can form a first view"
 
--- a/tansykeel/edge/ask.py
+++ b/tansykeel/edge/ask.py
@@ -18,7 +18,7 @@
 
 
 class NotTold(Problem):
-    """A gateway or control node that was asked did not say."""
+    """A gateway or control node did not answer a request."""
 
     advice = "look whether it runs, at the address of its settings, and whether it agrees with others"
     code = NOT_PLAYED
--- a/tansykeel/edge/hollow/gateways.py
+++ b/tansykeel/edge/hollow/gateways.py
@@ -20,7 +20,7 @@
 
 
 class HollowError(Problem, ValueError):
-    """A range of hollow gateways, or a command to them, that can't be."""
+    """A range of hollow gateways or a command to them is invalid."""
 
     advice = (
         "give a range of numbers that this process has, and one of the commands of tansykeel/edge/hollow/commands.py"
--- a/tansykeel/edge/tasks.py
+++ b/tansykeel/edge/tasks.py
@@ -21,7 +21,7 @@
 class StillHeld(Problem, ValueError):
     """A client used the id of a task that it still waits for."""
 
-    advice = "look at the client that is named: ids are for one task at a time"
+    advice = "check the client that is named: it must not reuse the id of a task before it has the answer"
 
 
 @dataclass(frozen=True, slots=True)
--- a/tansykeel/platform/objects.py
+++ b/tansykeel/platform/objects.py
@@ -16,9 +16,9 @@
 
 
 class Unfit(Problem, ValueError):
-    """What discovery sends is no sequence of JSON objects."""
+    """The data that discovery sends is not a sequence of JSON objects."""
 
-    advice = "look at what the agent at the address of discovery says; the gateway opens another watch"
+    advice = "check what the agent at the address of discovery sends; the gateway opens another watch"
 
 
 class ObjectSplitter:
