--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -124,12 +124,12 @@
 
     def heard(self, event: wire.Heard) -> None:
         try:
-            handle, units, gift = words.read(event.message)
+            handle, units, is_grant = words.decode(event.message)
         except ValueError as error:
             raise wire.Malformed(f"message of instance {event.sender}: {error}") from error
         volume = self.volumes.get(handle) if handle is not None else None
         if volume is not None or handle is None:  # else no task of it has come here: nothing to ask or give
-            self.brain.on_peer_message(event.sender, PeerMessage(volume, units, gift))
+            self.brain.on_peer_message(event.sender, PeerMessage(volume, units, is_grant))
         self.runner.run_pending()
 
     def dropped(self, event: wire.Dropped) -> None:
@@ -161,7 +161,7 @@
     def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
         whom = wire.EVERYONE if peer is None else peer
         volume = word.volume.handle if word.volume else None
-        self.outbox.tell(self.who, whom, words.write(volume, word.units, word.is_grant))
+        self.outbox.tell(self.who, whom, words.encode(volume, word.units, word.is_grant))
 
     def log(self, text: str) -> None:
         self.outbox.show(self.who, text)
--- a/tansykeel/benchlink/words.py
+++ b/tansykeel/benchlink/words.py
@@ -1,23 +1,28 @@
-"""Words between gateways as bytes on the bench's wire: ten, for each byte that arrives has its price."""
+"""Encodes messages between gateways for the simulator's wire.
+
+A message is 10 bytes; it is kept short because the simulator charges for each byte that a gateway receives.
+"""
 
 from __future__ import annotations
 
 import struct
 
-_WORD = struct.Struct(">QH")
-PARTS = 100  # of a unit: what is given is rounded down, so that none is made on the way
-MOST = 0x7FFF
-GIFT = 0x8000
-NONE = 0  # no volume: a greeting or its answer
+_MESSAGE = struct.Struct(">QH")
+UNIT_FRACTIONS = 100  # units are sent in hundredths, rounded down so that encoding a grant never creates units
+MAX_FRACTIONS = 0x7FFF  # larger amounts are sent as this one
+GRANT_FLAG = 0x8000
+NO_VOLUME = 0  # the message is a greeting or the reply to one
 
 
-def write(volume: int | None, units: float, gift: bool) -> bytes:
-    return _WORD.pack(volume or NONE, min(int(units * PARTS), MOST) | (GIFT if gift else 0))
+def encode(volume: int | None, units: float, is_grant: bool) -> bytes:
+    """Encode a message that asks for units of a volume's limit or grants some; without a volume, a greeting."""
+    fractions = min(int(units * UNIT_FRACTIONS), MAX_FRACTIONS)
+    return _MESSAGE.pack(volume or NO_VOLUME, fractions | (GRANT_FLAG if is_grant else 0))
 
 
-def read(message: bytes) -> tuple[int | None, float, bool]:
-    """The volume, its units and whether they are given. Raises ValueError for another length than a word's."""
-    if len(message) != _WORD.size:
-        raise ValueError(f"{len(message)} bytes; legal: {_WORD.size}")
-    volume, parts = _WORD.unpack(message)
-    return volume or None, (parts & MOST) / PARTS, bool(parts & GIFT)
+def decode(message: bytes) -> tuple[int | None, float, bool]:
+    """Return the volume, the units and whether they are granted. Raises ValueError for a message of another length."""
+    if len(message) != _MESSAGE.size:
+        raise ValueError(f"{len(message)} bytes; legal: {_MESSAGE.size}")
+    volume, fractions = _MESSAGE.unpack(message)
+    return volume or None, (fractions & MAX_FRACTIONS) / UNIT_FRACTIONS, bool(fractions & GRANT_FLAG)
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    "units, gift, back",
+    "units, is_grant, decoded",
     [
         (2.129, True, 2.12),
         (0.0, True, 0.0),
@@ -64,17 +64,17 @@
         (1e6, True, 327.67),
     ],
 )
-def test_units_in_a_message_are_rounded_down_so_that_none_are_created(units, gift, back):
-    assert words.read(words.write(2**64 - 1, units, gift)) == (2**64 - 1, back, gift)
+def test_units_in_a_message_are_rounded_down_so_that_none_are_created(units, is_grant, decoded):
+    assert words.decode(words.encode(2**64 - 1, units, is_grant)) == (2**64 - 1, decoded, is_grant)
 
 
 def test_a_greeting_arrives_without_a_volume():
-    assert words.read(words.write(None, 0.0, False)) == (None, 0.0, False)
+    assert words.decode(words.encode(None, 0.0, False)) == (None, 0.0, False)
 
 
 def test_bytes_that_are_no_message_are_named():
     with pytest.raises(ValueError, match="9 bytes; legal: 10"):
-        words.read(b"123456789")
+        words.decode(b"123456789")
 
 
 @pytest.mark.parametrize(
