--- a/tansykeel/benchlink/__main__.py
+++ b/tansykeel/benchlink/__main__.py
@@ -6,7 +6,7 @@
 import sys
 
 from tansykeel.benchlink.host import Host
-from tansykeel.benchlink.wire import Malformed, batches
+from tansykeel.benchlink.wire import Malformed, read_batches
 
 
 def main() -> int:
@@ -14,7 +14,7 @@
     host = Host()
     out = sys.stdout.buffer
     try:
-        for clock, events in batches(sys.stdin.buffer):
+        for clock, events in read_batches(sys.stdin.buffer):
             out.write(host.reply(clock, events))
             out.flush()
     except Malformed as error:
--- a/tansykeel/benchlink/host.py
+++ b/tansykeel/benchlink/host.py
@@ -71,7 +71,7 @@
         self.clock = clock
         self.runner.advance_clock(_floor(clock))
 
-    def update(self, event: wire.Update, entries: list[wire.Entry]) -> None:
+    def update(self, event: wire.Update, entries: list[wire.StoreEntry]) -> None:
         if event.scope == 0:
             self.brain.list_failed()
         else:
@@ -83,7 +83,7 @@
             self.brain.list_changed(list(self.stores.values()), confirmed=event.scope != 2)
         self.runner.run_pending()
 
-    def _store(self, entry: wire.Entry) -> Store:
+    def _store(self, entry: wire.StoreEntry) -> Store:
         store = self.stores.setdefault(entry.store, Store(entry.store))
         store.zone, store.kind, store.shard = entry.zone, entry.kind, entry.shard
         store.state = _lookup(STATES, entry.state, "Availability")
@@ -96,31 +96,33 @@
             raise wire.Malformed(f"task of category {event.category}, plan {event.plan}: not in the settings")
         plan = self.facts.plans[event.plan]
         volume = self.volumes.setdefault(event.volume, Volume(event.volume, plan))
-        volume.gateways = event.hosts
+        volume.gateways = event.gateways
         task = Task(
-            handle=event.id,
+            handle=event.task_id,
             category=self.facts.categories[event.category],
             volume=volume,
             units=event.units,
             shard=None if event.shard < 0 else int(event.shard),
             key=event.key,
             arrived=self.runner.now,
-            deadline=_floor(event.not_after),
-            resent=bool(event.bits & 2),
+            deadline=_floor(event.deadline),
+            resent=bool(event.flags & 2),
         )
-        self.tasks[event.id] = task
+        self.tasks[event.task_id] = task
         self.runner.start(task, self.brain.serve(task))
 
     def reply(self, event: wire.Reply) -> None:
         how = _lookup(HOWS, event.status, "Status")
-        task = self.tasks.get(event.id)
+        task = self.tasks.get(event.task_id)
         if task is None:
             return
-        if how is OutcomeKind.DELIVERED or event.final:
-            del self.tasks[event.id]
-        used = event.used - 1 if event.used else None
-        elsewhere = event.elsewhere if self.facts.reports_use_elsewhere else None
-        self.runner.outcome(task, Outcome(how, _ceil(event.lag), bool(event.final), used, elsewhere, event.report))
+        if how is OutcomeKind.DELIVERED or event.task_answered:
+            del self.tasks[event.task_id]
+        used = event.plan_use - 1 if event.plan_use else None
+        elsewhere = event.used_elsewhere if self.facts.reports_use_elsewhere else None
+        self.runner.outcome(
+            task, Outcome(how, _ceil(event.latency), bool(event.task_answered), used, elsewhere, event.report)
+        )
 
     def heard(self, event: wire.Heard) -> None:
         try:
@@ -133,38 +135,38 @@
         self.runner.run_pending()
 
     def dropped(self, event: wire.Dropped) -> None:
-        task = self.tasks.get(event.id)
+        task = self.tasks.get(event.task_id)
         if task is not None and self.runner.client_left(task):
-            del self.tasks[event.id]
+            del self.tasks[event.task_id]
 
     def reminder(self) -> None:
         self.runner.timer_fired()
 
     def hand_off(self, task: Task, store: Store, timeout: int) -> None:
-        self.outbox.transmit(self.who, task.handle, store.handle, timeout * TENTH)
+        self.outbox.hand_off(self.who, task.handle, store.handle, timeout * TENTH)
 
     def nack(self, task: Task, retry_after: int) -> None:
         self.tasks.pop(task.handle, None)
-        self.outbox.decline(self.who, task.handle, retry_after * TENTH)
+        self.outbox.nack(self.who, task.handle, retry_after * TENTH)
 
     def break_off(self, task: Task) -> None:
         self.tasks.pop(task.handle, None)
-        self.outbox.lose(self.who, task.handle)
+        self.outbox.break_off(self.who, task.handle)
 
     def set_timer(self, at: int) -> None:
         # From the exact clock, so that the reminder cannot come before the tenth it stands for.
-        self.outbox.timer(self.who, max(at * TENTH - self.clock, 0), 0)
+        self.outbox.set_timer(self.who, max(at * TENTH - self.clock, 0), 0)
 
     def request_store_list(self) -> None:
-        self.outbox.watch(self.who, True)
+        self.outbox.watch_store_list(self.who, True)
 
     def send_to_peer(self, peer: int | None, word: PeerMessage) -> None:
-        whom = wire.EVERYONE if peer is None else peer
+        whom = wire.ALL_PEERS if peer is None else peer
         volume = word.volume.handle if word.volume else None
-        self.outbox.tell(self.who, whom, words.encode(volume, word.units, word.is_grant))
+        self.outbox.send_message(self.who, whom, words.encode(volume, word.units, word.is_grant))
 
     def log(self, text: str) -> None:
-        self.outbox.show(self.who, text)
+        self.outbox.log(self.who, text)
 
 
 class Host:
@@ -173,12 +175,12 @@
     def __init__(self) -> None:
         self._outbox = wire.Outbox()
         self._instances: dict[int, Instance] = {}
-        self._pages: dict[int, list[wire.Entry]] = {}
+        self._pages: dict[int, list[wire.StoreEntry]] = {}
 
     def reply(self, clock: int, events: list[wire.Event]) -> bytes:
         for event in events:
-            if isinstance(event, wire.Rows):
-                self._pages[event.page] = event.entries
+            if isinstance(event, wire.StoreList):
+                self._pages[event.list_id] = event.entries
                 continue
             try:
                 self._one(clock, event)
@@ -186,27 +188,27 @@
                 raise
             except Exception as error:  # the module failed: its instance says so and the day ends
                 traceback.print_exc(file=sys.stderr)
-                self._outbox.broken(event.who, f"{type(error).__name__}: {error}")
-        return self._outbox.frame()
+                self._outbox.report_failure(event.instance_id, f"{type(error).__name__}: {error}")
+        return self._outbox.take_frame()
 
     def _one(self, clock: int, event: wire.Event) -> None:
         if isinstance(event, wire.Provision):
-            facts = read_facts(event.facts)
-            self._instances[event.who] = Instance(event.who, facts, event.seed, self._outbox, clock)
+            facts = read_facts(event.settings)
+            self._instances[event.instance_id] = Instance(event.instance_id, facts, event.seed, self._outbox, clock)
             return
-        instance = self._instances.get(event.who)
+        instance = self._instances.get(event.instance_id)
         if instance is None:
-            raise wire.Malformed(f"{type(event).__name__} for instance {event.who}, which is not running")
+            raise wire.Malformed(f"{type(event).__name__} for instance {event.instance_id}, which is not running")
         instance.move(clock)
         match event:
             case wire.Kill():
-                del self._instances[event.who]
+                del self._instances[event.instance_id]
             case wire.Update():
                 if event.scope not in (0, 1, 2, 4):
                     raise wire.Malformed(f"Update of unknown scope {event.scope}")
-                if event.scope and event.page not in self._pages:
-                    raise wire.Malformed(f"Update names list {event.page}, which was not sent")
-                instance.update(event, self._pages.get(event.page, []))
+                if event.scope and event.list_id not in self._pages:
+                    raise wire.Malformed(f"Update names list {event.list_id}, which was not sent")
+                instance.update(event, self._pages.get(event.list_id, []))
             case wire.Query():
                 instance.query(event)
             case wire.Reply():
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -9,7 +9,7 @@
 
 from tansykeel.benchlink import words
 from tansykeel.benchlink.host import read_facts
-from tansykeel.benchlink.wire import EVERYONE, Dropped, Malformed, Outbox, Query, Reminder, batches
+from tansykeel.benchlink.wire import ALL_PEERS, Dropped, Malformed, Outbox, Query, Reminder, read_batches
 from tansykeel.interface import Nack, Wait, WakeReason
 from tansykeel.runner import Runner
 
@@ -22,21 +22,21 @@
 
 
 def test_a_batch_is_read_as_the_wire_describes_it():
-    [(clock, events)] = batches(io.BytesIO(FRAME))
+    [(clock, events)] = read_batches(io.BytesIO(FRAME))
     query, reminder, dropped = events
     assert clock == 0x1F568BF90
-    assert isinstance(query, Query) and (query.hosts, query.units, query.shard) == (3.0, 2.0, 0.0)
-    assert query.not_after == 0x203B6DB90 and query.key == 0x91F03B7C55D20A64
+    assert isinstance(query, Query) and (query.gateways, query.units, query.shard) == (3.0, 2.0, 0.0)
+    assert query.deadline == 0x203B6DB90 and query.key == 0x91F03B7C55D20A64
     assert reminder == Reminder(3, 77) and dropped == Dropped(5, 0xDF4160E6F2B19)
 
 
 def test_a_reply_is_written_as_the_wire_describes_it():
     out = Outbox()
-    out.transmit(3, 0x712305D3A91C4, bytes.fromhex("0a124a07138b"), 80_000_000)
-    out.timer(3, 500_000_000, 77)
-    out.show(5, "two servers unknown")
+    out.hand_off(3, 0x712305D3A91C4, bytes.fromhex("0a124a07138b"), 80_000_000)
+    out.set_timer(3, 500_000_000, 77)
+    out.log(5, "two servers unknown")
     assert (
-        out.frame()
+        out.take_frame()
         == bytes.fromhex(
             "00000003 00000073"
             "0100 00000003 000712305d3a91c4 0000000004c4b400 0a124a07 138b 00000000"
@@ -51,8 +51,11 @@
 
 def test_a_message_to_all_gateways_is_written_as_the_wire_describes_it():
     out = Outbox()
-    out.tell(3, EVERYONE, b"hi!!")
-    assert out.frame() == bytes.fromhex("00000001 00000024 0107 00000003 ffff 00000000 00000004" + "00" * 16) + b"hi!!"
+    out.send_message(3, ALL_PEERS, b"hi!!")
+    assert (
+        out.take_frame()
+        == bytes.fromhex("00000001 00000024 0107 00000003 ffff 00000000 00000004" + "00" * 16) + b"hi!!"
+    )
 
 
 @pytest.mark.parametrize(
@@ -88,7 +91,7 @@
 )
 def test_a_malformed_frame_is_named(frame, says):
     with pytest.raises(Malformed, match=says):
-        list(batches(io.BytesIO(frame)))
+        list(read_batches(io.BytesIO(frame)))
 
 
 @pytest.mark.parametrize(
