--- a/tansykeel/benchlink/__init__.py
+++ b/tansykeel/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""Links the decision module to the bench's wire."""
+"""The adapter between the scheduler and the simulator's wire protocol."""
--- a/tansykeel/benchlink/__main__.py
+++ b/tansykeel/benchlink/__main__.py
@@ -1,22 +1,23 @@
-"""`python -m tansykeel.benchlink`: the decisions on standard input and output."""
+"""`python -m tansykeel.benchlink`: runs the scheduler for the simulator, over standard input and output."""
 
 from __future__ import annotations
 
 import gc
 import sys
 
-from tansykeel.benchlink.host import Host
+from tansykeel.benchlink.host import Adapter
 from tansykeel.benchlink.wire import Malformed, read_batches
 
 
 def main() -> int:
-    gc.freeze()
-    host = Host()
-    out = sys.stdout.buffer
+    """Answer batches until the input ends. Returns the exit code: 2 after a malformed frame."""
+    gc.freeze()  # the garbage collector need not look at what the imports made
+    adapter = Adapter()
+    output = sys.stdout.buffer
     try:
         for clock, events in read_batches(sys.stdin.buffer):
-            out.write(host.reply(clock, events))
-            out.flush()
+            output.write(adapter.handle_batch(clock, events))
+            output.flush()
     except Malformed as error:
         print(f"benchlink: {error}", file=sys.stderr)
         return 2
--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter and the runner: frames read and written, errors that name what is malformed."""
+"""The simulator's adapter: frames read and written, errors that name what is malformed; and the runner's timers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from helpers import Runtime, task
 
 from tansykeel.benchlink import words
-from tansykeel.benchlink.host import read_facts
+from tansykeel.benchlink.host import read_config
 from tansykeel.benchlink.wire import ALL_PEERS, Dropped, Malformed, Outbox, Query, Reminder, read_batches
 from tansykeel.interface import Nack, Wait, WakeReason
 from tansykeel.runner import Runner
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(
-    "frame, says",
+    "frame, message",
     [
         (FRAME[:10], "short header"),
         (FRAME[:-1], "short body"),
@@ -89,22 +89,22 @@
         (bytes.fromhex("00000001 00000001 0000000000000000 00"), "cannot hold"),
     ],
 )
-def test_a_malformed_frame_is_named(frame, says):
-    with pytest.raises(Malformed, match=says):
+def test_a_malformed_frame_is_named(frame, message):
+    with pytest.raises(Malformed, match=message):
         list(read_batches(io.BytesIO(frame)))
 
 
 @pytest.mark.parametrize(
-    "text, says",
+    "text, message",
     [
         (b"{", "not JSON"),
         (b"[]", "not a JSON object"),
         (b"{}", "lack 'Rules'"),
     ],
 )
-def test_settings_that_cannot_be_used_are_named(text, says):
-    with pytest.raises(Malformed, match=says):
-        read_facts(text)
+def test_settings_that_cannot_be_used_are_named(text, message):
+    with pytest.raises(Malformed, match=message):
+        read_config(text)
 
 
 class EffectHandler(list):
@@ -117,19 +117,19 @@
 def test_the_runner_resumes_a_held_task_once_and_ignores_its_old_timer():
     effects = EffectHandler()
     runner, held = Runner(effects, 0), task(Runtime())
-    seen = []
+    resumed_with = []
 
-    def run():
-        seen.append((yield Wait(100)))
-        seen.append((yield Wait(300)))
+    def generator():
+        resumed_with.append((yield Wait(100)))
+        resumed_with.append((yield Wait(300)))
         yield Nack(7)
 
-    runner.start(held, run())
+    runner.start(held, generator())
     runner.wake(held, WakeReason.GRANTED)
     runner.run_pending()
     runner.advance_clock(200)
     runner.timer_fired()
-    assert seen == [WakeReason.GRANTED]
+    assert resumed_with == [WakeReason.GRANTED]
     runner.advance_clock(300)
     runner.timer_fired()
-    assert seen == [WakeReason.GRANTED, WakeReason.TIMER] and effects[-1] == ("nack", 7)
+    assert resumed_with == [WakeReason.GRANTED, WakeReason.TIMER] and effects[-1] == ("nack", 7)
