--- a/tansykeel/benchlink/wire.py
+++ b/tansykeel/benchlink/wire.py
@@ -200,12 +200,12 @@
 
     def slice_tail(where: str, offset: int, length: int) -> memoryview:
         if offset + length > len(tail):
-            raise Malformed(f"{where}: {length} bytes at offset {offset} exceed the tail section of {len(tail)} bytes")
+            raise Malformed(f"{where}: {length} bytes at offset {offset} lie outside the tail of length {len(tail)}")
         return tail[offset : offset + length]
 
     def load_report(where: str, length: int, values: tuple[float, ...]) -> tuple[float, ...]:
         if length > len(values):
-            raise Malformed(f"{where}: load report of {length} values; legal: at most {len(values)}")
+            raise Malformed(f"{where}: load report of {length} values, more than a record holds")
         return values[:length]
 
     events: list[Event] = []
--- a/tansykeel/benchlink/words.py
+++ b/tansykeel/benchlink/words.py
@@ -16,8 +16,9 @@
 
 def encode(volume: int | None, units: float, is_grant: bool) -> bytes:
     """Encode a message that asks for units of a volume's limit or grants some; without a volume, a greeting."""
-    fractions = min(int(units * UNIT_FRACTIONS), MAX_FRACTIONS)
-    return _MESSAGE.pack(volume or NO_VOLUME, fractions | (GRANT_FLAG if is_grant else 0))
+    return _MESSAGE.pack(
+        volume or NO_VOLUME, min(int(units * UNIT_FRACTIONS), MAX_FRACTIONS) | (GRANT_FLAG if is_grant else 0)
+    )
 
 
 def decode(message: bytes) -> tuple[int | None, float, bool]:
