--- a/tansykeel/benchlink/wire.py
+++ b/tansykeel/benchlink/wire.py
@@ -263,9 +263,9 @@
         """Answer that a task was given up and may have been executed."""
         self._add(_BREAK_OFF.pack(258, instance_id, task_id))
 
-    def cancel(self, instance_id: int, task_id: int, shot: int) -> None:
+    def cancel(self, instance_id: int, task_id: int, attempt: int) -> None:
         """Cancel one hand-off of a task."""
-        self._add(_CANCEL.pack(259, instance_id, task_id, shot))
+        self._add(_CANCEL.pack(259, instance_id, task_id, attempt))
 
     def set_timer(self, instance_id: int, delay: int, token: int) -> None:
         """Ask for a Reminder event with this token after a delay."""
