--- a/tests/brain/test_link.py
+++ b/tests/brain/test_link.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter and the runner: frames read and written, errors that name what is malformed."""
+"""The simulator's adapter: frames read and written, errors that name what is malformed; and the runner's timers."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from helpers import Runtime, task
 
 from tansykeel.benchlink import words
-from tansykeel.benchlink.host import read_facts
-from tansykeel.benchlink.wire import EVERYONE, Dropped, Malformed, Outbox, Query, Reminder, batches
+from tansykeel.benchlink.host import read_config
+from tansykeel.benchlink.wire import ALL_PEERS, Dropped, Malformed, Outbox, Query, Reminder, read_batches
 from tansykeel.interface import Nack, Wait, WakeReason
 from tansykeel.runner import Runner
 
@@ -22,21 +22,21 @@
 
 
 def test_a_batch_is_read_as_the_wire_describes_it():
-    [(clock, events)] = batches(io.BytesIO(FRAME))
+    [(clock, events)] = read_batches(io.BytesIO(FRAME))
     query, reminder, dropped = events
     assert clock == 0x1F568BF90
-    assert isinstance(query, Query) and (query.hosts, query.units, query.shard) == (3.0, 2.0, 0.0)
-    assert query.not_after == 0x203B6DB90 and query.key == 0x91F03B7C55D20A64
+    assert isinstance(query, Query) and (query.gateways, query.units, query.shard) == (3.0, 2.0, 0.0)
+    assert query.deadline == 0x203B6DB90 and query.key == 0x91F03B7C55D20A64
     assert reminder == Reminder(3, 77) and dropped == Dropped(5, 0xDF4160E6F2B19)
 
 
 def test_a_reply_is_written_as_the_wire_describes_it():
     out = Outbox()
-    out.transmit(3, 0x712305D3A91C4, bytes.fromhex("0a124a07138b"), 80_000_000)
-    out.timer(3, 500_000_000, 77)
-    out.show(5, "two servers unknown")
+    out.hand_off(3, 0x712305D3A91C4, bytes.fromhex("0a124a07138b"), 80_000_000)
+    out.set_timer(3, 500_000_000, 77)
+    out.log(5, "two servers unknown")
     assert (
-        out.frame()
+        out.take_frame()
         == bytes.fromhex(
             "00000003 00000073"
             "0100 00000003 000712305d3a91c4 0000000004c4b400 0a124a07 138b 00000000"
@@ -51,12 +51,15 @@
 
 def test_a_message_to_all_gateways_is_written_as_the_wire_describes_it():
     out = Outbox()
-    out.tell(3, EVERYONE, b"hi!!")
-    assert out.frame() == bytes.fromhex("00000001 00000024 0107 00000003 ffff 00000000 00000004" + "00" * 16) + b"hi!!"
+    out.send_message(3, ALL_PEERS, b"hi!!")
+    assert (
+        out.take_frame()
+        == bytes.fromhex("00000001 00000024 0107 00000003 ffff 00000000 00000004" + "00" * 16) + b"hi!!"
+    )
 
 
 @pytest.mark.parametrize(
-    "units, gift, back",
+    "units, is_grant, decoded",
     [
         (2.129, True, 2.12),
         (0.0, True, 0.0),
@@ -64,21 +67,21 @@
         (1e6, True, 327.67),
     ],
 )
-def test_units_in_a_message_are_rounded_down_so_that_none_are_created(units, gift, back):
-    assert words.read(words.write(2**64 - 1, units, gift)) == (2**64 - 1, back, gift)
+def test_units_in_a_message_are_rounded_down_so_that_none_are_created(units, is_grant, decoded):
+    assert words.decode(words.encode(2**64 - 1, units, is_grant)) == (2**64 - 1, decoded, is_grant)
 
 
 def test_a_greeting_arrives_without_a_volume():
-    assert words.read(words.write(None, 0.0, False)) == (None, 0.0, False)
+    assert words.decode(words.encode(None, 0.0, False)) == (None, 0.0, False)
 
 
 def test_bytes_that_are_no_message_are_named():
     with pytest.raises(ValueError, match="9 bytes; legal: 10"):
-        words.read(b"123456789")
+        words.decode(b"123456789")
 
 
 @pytest.mark.parametrize(
-    "frame, says",
+    "frame, message",
     [
         (FRAME[:10], "short header"),
         (FRAME[:-1], "short body"),
@@ -86,22 +89,22 @@
         (bytes.fromhex("00000001 00000001 0000000000000000 00"), "cannot hold"),
     ],
 )
-def test_a_malformed_frame_is_named(frame, says):
-    with pytest.raises(Malformed, match=says):
-        list(batches(io.BytesIO(frame)))
+def test_a_malformed_frame_is_named(frame, message):
+    with pytest.raises(Malformed, match=message):
+        list(read_batches(io.BytesIO(frame)))
 
 
 @pytest.mark.parametrize(
-    "text, says",
+    "text, message",
     [
         (b"{", "not JSON"),
         (b"[]", "not a JSON object"),
         (b"{}", "lack 'Rules'"),
     ],
 )
-def test_settings_that_cannot_be_used_are_named(text, says):
-    with pytest.raises(Malformed, match=says):
-        read_facts(text)
+def test_settings_that_cannot_be_used_are_named(text, message):
+    with pytest.raises(Malformed, match=message):
+        read_config(text)
 
 
 class EffectHandler(list):
@@ -114,19 +117,19 @@
 def test_the_runner_resumes_a_held_task_once_and_ignores_its_old_timer():
     effects = EffectHandler()
     runner, held = Runner(effects, 0), task(Runtime())
-    seen = []
+    resumed_with = []
 
-    def run():
-        seen.append((yield Wait(100)))
-        seen.append((yield Wait(300)))
+    def generator():
+        resumed_with.append((yield Wait(100)))
+        resumed_with.append((yield Wait(300)))
         yield Nack(7)
 
-    runner.start(held, run())
+    runner.start(held, generator())
     runner.wake(held, WakeReason.GRANTED)
     runner.run_pending()
     runner.advance_clock(200)
     runner.timer_fired()
-    assert seen == [WakeReason.GRANTED]
+    assert resumed_with == [WakeReason.GRANTED]
     runner.advance_clock(300)
     runner.timer_fired()
-    assert seen == [WakeReason.GRANTED, WakeReason.TIMER] and effects[-1] == ("nack", 7)
+    assert resumed_with == [WakeReason.GRANTED, WakeReason.TIMER] and effects[-1] == ("nack", 7)
