--- a/tansykeel/benchlink/wire.py
+++ b/tansykeel/benchlink/wire.py
@@ -14,7 +14,7 @@
 
 
 class Malformed(Problem):
-    """A frame of the bench doesn't follow the wire; the text names what and where."""
+    """A frame from the simulator doesn't follow the wire format; the text names what and where."""
 
     advice = "compare the adapter with the wire's page; the frame is written to standard error"
 
