--- a/tansykeel/audit/maintenance.py
+++ b/tansykeel/audit/maintenance.py
@@ -11,7 +11,7 @@
 
 from tansykeel.audit.join import Passed
 from tansykeel.audit.rules import Break
-from tansykeel.maintenance.disruption_budget import Bounds, Place, hindrances
+from tansykeel.maintenance.disruption_budget import Bounds, Place, violated_bounds
 
 KNOWN_AFTER = 10_000_000  # microseconds after which a death has to be counted
 
@@ -37,7 +37,7 @@
             and not any(up.at > at and up.edge == edge for up in passed.left)
             and not any(one.at > at and one.edge == edge for one in passed.counted)
         }
-        against = hindrances(law.places[left.edge], law.places, (out | died) - {left.edge}, law.bounds, 0.0)
+        against = violated_bounds(law.places[left.edge], law.places, (out | died) - {left.edge}, law.bounds, 0.0)
         for why in against:
             yield Break("room", f"{left.edge} went out by leave {left.number[1]} though {why}")
         out.add(left.edge)
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -17,7 +17,7 @@
 from tansykeel.emulator.machines import Machine, Result, Trial
 from tansykeel.maintenance.canary_analysis import SURE, Seen, Terms, apart
 from tansykeel.maintenance.controller import Ask, Controller, Order, Pace, plan_of
-from tansykeel.maintenance.disruption_budget import Place, hindrances, most
+from tansykeel.maintenance.disruption_budget import Place, most, violated_bounds
 from tansykeel.maintenance.entries import Move, packed
 from tansykeel.maintenance.rollouts import DONE, GIVEN_UP, HALTED
 from tansykeel.maintenance.state import State
@@ -310,7 +310,7 @@
             if machine.by_leave and not (machine.up and self._whole(other)) or long_dead and not machine.up:
                 out.add(other)
         self.most_out = max(self.most_out, len(out) + 1)
-        against = hindrances(self.places[name], self.places, out, self.trial.bounds, 0.0)
+        against = violated_bounds(self.places[name], self.places, out, self.trial.bounds, 0.0)
         if against:
             self.broken.append(f"{self.seconds():.1f} s: {name} goes out though {'; '.join(against)}")
 
--- a/tansykeel/maintenance/disruption_budget.py
+++ b/tansykeel/maintenance/disruption_budget.py
@@ -39,7 +39,7 @@
     return max(int(part * of + 1e-9), 1)
 
 
-def hindrances(
+def violated_bounds(
     place: Place, places: Mapping[str, Place], out: Collection[str], bounds: Bounds, asked: float
 ) -> list[str]:
     """What speaks against its going now, each bound with its figures; nothing: it may. `asked`: units a second."""
--- a/tansykeel/maintenance/state.py
+++ b/tansykeel/maintenance/state.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from tansykeel.maintenance.disruption_budget import Bounds, Place, hindrances
+from tansykeel.maintenance.disruption_budget import Bounds, Place, violated_bounds
 from tansykeel.maintenance.entries import (
     AnyEntry,
     Asked,
@@ -103,7 +103,7 @@
         if name in kept.out:
             return [f"{name} is out already: {kept.out[name].why}"]
         place = kept.places[name]
-        return hindrances(place, kept.places, kept.out, kept.bounds, kept.asked.get(place.kind, 0.0))
+        return violated_bounds(place, kept.places, kept.out, kept.bounds, kept.asked.get(place.kind, 0.0))
 
     def replaced(self, name: str) -> bool:
         """Whether another store that is there holds the shard of this one."""
