--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -17,7 +17,7 @@
 from tansykeel.emulator.machines import Machine, Result, Trial
 from tansykeel.maintenance.canary_analysis import SURE, Seen, Terms, apart
 from tansykeel.maintenance.controller import Ask, Controller, Order, Pace, plan_of
-from tansykeel.maintenance.disruption_budget import Place, most, violated_bounds
+from tansykeel.maintenance.disruption_budget import Place, max_unavailable, violated_bounds
 from tansykeel.maintenance.entries import Move, packed
 from tansykeel.maintenance.rollouts import DONE, GIVEN_UP, HALTED
 from tansykeel.maintenance.state import State
@@ -89,7 +89,7 @@
             first = self.places[wave[0]]
             alike = [place for place in self.places.values() if place.kind == first.kind]
             near = [place for place in alike if place.zone == first.zone]
-            wide = min(most(trial.bounds.share, len(alike)), most(trial.bounds.zone, len(near)))
+            wide = min(max_unavailable(trial.bounds.share, len(alike)), max_unavailable(trial.bounds.zone, len(near)))
             steps += ceil(len(wave) / wide)
         step = trial.restart_s + (trial.warm_s if trial.release == "stores" else self.joins_s())
         watched = trial.settles_s * (len(self.waves()) - 1) + max(trial.settles_s, self.finds_s())
--- a/tansykeel/maintenance/disruption_budget.py
+++ b/tansykeel/maintenance/disruption_budget.py
@@ -35,7 +35,7 @@
     alone: bool = False  # whether a store that alone holds a shard may go
 
 
-def most(part: float, of: int) -> int:
+def max_unavailable(part: float, of: int) -> int:
     return max(int(part * of + 1e-9), 1)
 
 
@@ -67,7 +67,7 @@
 def _bound(what: str, places: Iterable[Place], out: Collection[str], part: float, bare: bool = True) -> Iterable[str]:
     """`bare`: whether the last one may go."""
     among = list(places)
-    gone, allowed = sum(other.name in out for other in among), most(part, len(among))
+    gone, allowed = sum(other.name in out for other in among), max_unavailable(part, len(among))
     if not bare:
         allowed = min(allowed, len(among) - 1)
     if gone + 1 > allowed:
