--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -15,7 +15,7 @@
 from tansykeel.cluster.view_agreement import LeaseTerms as Leases
 from tansykeel.emulator.engine import START, Engine, NoEnd
 from tansykeel.emulator.machines import Machine, Result, Trial
-from tansykeel.maintenance.canary_analysis import SURE, Seen, Terms, apart
+from tansykeel.maintenance.canary_analysis import HARM_EVIDENCE_FACTOR, Seen, Terms, apart
 from tansykeel.maintenance.controller import Ask, Controller, Order, Pace, plan_of
 from tansykeel.maintenance.disruption_budget import Place, max_unavailable, violated_bounds
 from tansykeel.maintenance.entries import Move, packed
@@ -103,7 +103,11 @@
         terms, old = Terms(), self.trial.gateways / self.trial.zones - 1
         new, rate = self.trial.tasks_s / len(CLASSES), RATE - terms.harm
         between = (rate + old * RATE) / (1 + old)
-        return SURE * log(len(CLASSES) / terms.alpha) / (new * (apart(rate, between) + old * apart(RATE, between)))
+        return (
+            HARM_EVIDENCE_FACTOR
+            * log(len(CLASSES) / terms.alpha)
+            / (new * (apart(rate, between) + old * apart(RATE, between)))
+        )
 
     def joins_s(self) -> float:
         """Until a gateway that started holds its lease: steady for two pings, a view, and one lease."""
--- a/tansykeel/maintenance/canary_analysis.py
+++ b/tansykeel/maintenance/canary_analysis.py
@@ -19,7 +19,7 @@
 
 STRETCHES = 24  # of which the rates are taken
 LEAST, MOST = 0.01, 0.99  # rates that are reckoned with
-SURE = 3.5  # times the evidence that a harm should have brought before it is taken not to be there
+HARM_EVIDENCE_FACTOR = 3.5  # times the evidence that a harm should have brought before it is taken not to be there
 
 
 class Terms(Struct, frozen=True):
@@ -98,4 +98,6 @@
 
     def settled(self) -> bool:
         """Whether a harm would have been found by now in each class that has tasks, and none was."""
-        return not self.worse() and all(stream.wanted >= SURE * self.needed for stream in self.streams.values())
+        return not self.worse() and all(
+            stream.wanted >= HARM_EVIDENCE_FACTOR * self.needed for stream in self.streams.values()
+        )
