--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -15,7 +15,7 @@
 from tansykeel.cluster.view_agreement import LeaseTerms as Leases
 from tansykeel.emulator.engine import START, Engine, NoEnd
 from tansykeel.emulator.machines import Machine, Result, Trial
-from tansykeel.maintenance.canary_analysis import HARM_EVIDENCE_FACTOR, Seen, Terms, apart
+from tansykeel.maintenance.canary_analysis import HARM_EVIDENCE_FACTOR, Seen, Terms, relative_entropy
 from tansykeel.maintenance.controller import Ask, Controller, Order, Pace, plan_of
 from tansykeel.maintenance.disruption_budget import Place, max_unavailable, violated_bounds
 from tansykeel.maintenance.entries import Move, packed
@@ -106,7 +106,7 @@
         return (
             HARM_EVIDENCE_FACTOR
             * log(len(CLASSES) / terms.alpha)
-            / (new * (apart(rate, between) + old * apart(RATE, between)))
+            / (new * (relative_entropy(rate, between) + old * relative_entropy(RATE, between)))
         )
 
     def joins_s(self) -> float:
--- a/tansykeel/maintenance/canary_analysis.py
+++ b/tansykeel/maintenance/canary_analysis.py
@@ -54,7 +54,7 @@
             self.evidence += _gain(new, old, of_new, of_old)
         worse = max(of_old - terms.harm, LEAST)
         between = (new.tasks * worse + old.tasks * of_old) / (new.tasks + old.tasks)
-        self.wanted += new.tasks * apart(worse, between) + old.tasks * apart(of_old, between)
+        self.wanted += new.tasks * relative_entropy(worse, between) + old.tasks * relative_entropy(of_old, between)
         self.last.append((new, old))
 
 
@@ -73,7 +73,7 @@
     )
 
 
-def apart(one: float, other: float) -> float:
+def relative_entropy(one: float, other: float) -> float:
     """What a task tells of the one rate against the other, in the mean (Kullback and Leibler)."""
     return one * log(one / other) + (1 - one) * log((1 - one) / (1 - other))
 
