--- a/tansykeel/cli/accord.py
+++ b/tansykeel/cli/accord.py
@@ -120,9 +120,9 @@
     by: By = "operator",
 ) -> None:
     """Plan a release; it begins when no other is under way."""
-    from tansykeel.maintenance.controller import plan_of
+    from tansykeel.maintenance.controller import make_plan
 
-    offered(address, plan_of(name, version, before, [one.split(",") for one in wave], by))
+    offered(address, make_plan(name, version, before, [one.split(",") for one in wave], by))
 
 
 def _moves(what: str, says: str) -> None:
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -16,7 +16,7 @@
 from tansykeel.emulator.engine import START, Engine, NoEnd
 from tansykeel.emulator.machines import Machine, Result, Trial
 from tansykeel.maintenance.canary_analysis import HARM_EVIDENCE_FACTOR, Seen, Terms, relative_entropy
-from tansykeel.maintenance.controller import Ask, Controller, Order, Pace, plan_of
+from tansykeel.maintenance.controller import Ask, Controller, Order, Pace, make_plan
 from tansykeel.maintenance.disruption_budget import Place, max_unavailable, violated_bounds
 from tansykeel.maintenance.entries import Move, packed
 from tansykeel.maintenance.rollouts import DONE, GIVEN_UP, HALTED
@@ -210,7 +210,7 @@
                 self._offer(name, packed(word))
         if controller.led >= 0 and kept.known and "r1" not in kept.releases and len(kept.places) == len(self.places):
             self.began = self.began or self.seconds()
-            self._offer(name, packed(plan_of("r1", "new", "old", self.waves(), "operator")))
+            self._offer(name, packed(make_plan("r1", "new", "old", self.waves(), "operator")))
         release = kept.releases.get("r1")
         if controller.led >= 0 and release and release.state == HALTED:
             what = "back" if "worse" in release.why or "not back" in release.why else "resume"
--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -206,5 +206,5 @@
         return [Move(release.name, "next", "", "")] if enough and now - since >= self.pace.settles else []
 
 
-def plan_of(name: str, version: str, before: str, waves: Iterable[Iterable[str]], by: str) -> Plan:
+def make_plan(name: str, version: str, before: str, waves: Iterable[Iterable[str]], by: str) -> Plan:
     return Plan(name, version, before, tuple(tuple(wave) for wave in waves), by)
--- a/tansykeel/rehearse/agents.py
+++ b/tansykeel/rehearse/agents.py
@@ -14,7 +14,7 @@
 from tansykeel.audit.records import Left, Recorder, now_us
 from tansykeel.edge.ask import NotTold, exchange_maintenance, query_fleet
 from tansykeel.errors import Problem
-from tansykeel.maintenance.controller import Ask, Order, plan_of
+from tansykeel.maintenance.controller import Ask, Order, make_plan
 from tansykeel.maintenance.entries import Move, Recover
 from tansykeel.maintenance.messages import Elsewhere, MaintenanceMessage, Offered, Status, StatusAsk, Taken
 from tansykeel.maintenance.rollouts import DONE, GIVEN_UP, HALTED
@@ -119,7 +119,7 @@
             elif RELEASE not in kept.releases:
                 if loop.time() >= self.start + self.release.at and len(kept.places) >= len(self.names):
                     waves = [[self.names[index] for index in wave] for wave in self.release.waves]
-                    await self._say(Offered(plan_of(RELEASE, self.release.version, "old", waves, "operator")))
+                    await self._say(Offered(make_plan(RELEASE, self.release.version, "old", waves, "operator")))
             elif kept.releases[RELEASE].state == HALTED:
                 why = kept.releases[RELEASE].why
                 lost = "lost" in why
