--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -17,7 +17,7 @@
 from tansykeel.maintenance.canary_analysis import Seen
 from tansykeel.maintenance.controller import Ask, Controller
 from tansykeel.maintenance.disruption_budget import Place
-from tansykeel.maintenance.entries import Recover, packed
+from tansykeel.maintenance.entries import Recover, encode_entry
 from tansykeel.maintenance.messages import (
     Elsewhere,
     Figures,
@@ -91,7 +91,7 @@
         if replicated_log.leads:
             gone, alive = self._health()
             for entry in self.controller.wants(now, self._places(), self.bounds, gone, alive):
-                self.send_to_cluster(self.cluster_member.offer(now, packed(entry))[1])
+                self.send_to_cluster(self.cluster_member.offer(now, encode_entry(entry))[1])
         for name, (since, reply) in list(self.pending.items()):
             self._answer(now, name, since, reply)
 
@@ -127,7 +127,7 @@
             case Offered(entry):
                 if isinstance(entry, Recover) and self.controller.recover(now, entry.out, entry.by) is None:
                     return reply(Taken(False, "orders of before may still be obeyed; legal: a few seconds later"))
-                added, sent = self.cluster_member.offer(now, packed(entry))
+                added, sent = self.cluster_member.offer(now, encode_entry(entry))
                 self.send_to_cluster(sent)
                 reply(Taken(added))
 
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -18,7 +18,7 @@
 from tansykeel.maintenance.canary_analysis import HARM_EVIDENCE_FACTOR, Seen, Terms, relative_entropy
 from tansykeel.maintenance.controller import Ask, Controller, Order, Pace, make_plan
 from tansykeel.maintenance.disruption_budget import Place, max_unavailable, violated_bounds
-from tansykeel.maintenance.entries import Move, packed
+from tansykeel.maintenance.entries import Move, encode_entry
 from tansykeel.maintenance.rollouts import DONE, GIVEN_UP, HALTED
 from tansykeel.maintenance.state import State
 
@@ -202,19 +202,19 @@
         }
         alive += [one for one in stores if self._whole(one)]
         for entry in controller.wants(self.now(), self.places, self.trial.bounds, gone, alive):
-            self._offer(name, packed(entry))
+            self._offer(name, encode_entry(entry))
         kept = controller.state.kept
         if controller.led >= 0 and not kept.known:
             out = [(one, "seen") for one, at in self.machines.items() if not at.up or not self._whole(one)]
             if (word := controller.recover(self.now(), out, "operator")) is not None:
-                self._offer(name, packed(word))
+                self._offer(name, encode_entry(word))
         if controller.led >= 0 and kept.known and "r1" not in kept.releases and len(kept.places) == len(self.places):
             self.began = self.began or self.seconds()
-            self._offer(name, packed(make_plan("r1", "new", "old", self.waves(), "operator")))
+            self._offer(name, encode_entry(make_plan("r1", "new", "old", self.waves(), "operator")))
         release = kept.releases.get("r1")
         if controller.led >= 0 and release and release.state == HALTED:
             what = "back" if "worse" in release.why or "not back" in release.why else "resume"
-            self._offer(name, packed(Move("r1", what, release.why, "operator")))
+            self._offer(name, encode_entry(Move("r1", what, release.why, "operator")))
         if release and release.state in (DONE, GIVEN_UP) and not self.took:
             self.took = self.seconds()
 
--- a/tansykeel/maintenance/entries.py
+++ b/tansykeel/maintenance/entries.py
@@ -99,7 +99,7 @@
 _decode = msgspec.msgpack.Decoder(AnyEntry).decode
 
 
-def packed(entry: AnyEntry) -> bytes:
+def encode_entry(entry: AnyEntry) -> bytes:
     return _encode(entry)
 
 
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -17,7 +17,7 @@
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.maintenance.disruption_budget import Bounds as Room
 from tansykeel.maintenance.disruption_budget import Place
-from tansykeel.maintenance.entries import Back, Leave, Recover, There, packed, unpacked
+from tansykeel.maintenance.entries import Back, Leave, Recover, There, encode_entry, unpacked
 from tansykeel.maintenance.state import State
 
 SUBJECTS = ("x", "y")
@@ -215,7 +215,7 @@
         return True
 
     def _offer(self, name: str, replicated_log: ReplicatedLog, entry: Leave | Back | Recover) -> None:
-        self._say(name, replicated_log.append_entry(self.clock(name), packed(entry))[1])
+        self._say(name, replicated_log.append_entry(self.clock(name), encode_entry(entry))[1])
 
     def _of_subject(self, kind: object, what: object) -> None:
         if kind == "returns":
--- a/tansykeel/maintenance/state.py
+++ b/tansykeel/maintenance/state.py
@@ -24,7 +24,7 @@
     Recover,
     There,
     Went,
-    packed,
+    encode_entry,
     unpacked,
 )
 from tansykeel.maintenance.rollouts import BY_LEADER, GOING_BACK, OVER, PLANNED, SETTLING, Release
@@ -84,7 +84,7 @@
         self.kept = _KEPT.decode(data)
 
     def state_lost_entry(self, number: int) -> bytes:
-        return packed(Lost(number))
+        return encode_entry(Lost(number))
 
     def copy(self) -> State:
         made = State()
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -10,7 +10,7 @@
 from tansykeel.cluster.model_checker import Bounds, random_runs
 from tansykeel.cluster.replicated_log import ReplicatedLog
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
-from tansykeel.maintenance.entries import Back, Leave, Lost, packed, unpacked
+from tansykeel.maintenance.entries import Back, Leave, Lost, encode_entry, unpacked
 from tansykeel.maintenance.model_checker import Books, settled
 from tansykeel.maintenance.state import State
 
@@ -111,7 +111,7 @@
     # What stands in for an operator's word after a loss, or for x seen back by b alone: x is no longer out.
     book = fleet._own("b")
     book.machine.kept.out.clear()
-    fleet._say("b", book.append_entry(0, packed(Leave("y", 1, "test", "b")))[1])
+    fleet._say("b", book.append_entry(0, encode_entry(Leave("y", 1, "test", "b")))[1])
     fleet = all_hear(fleet, *cut)
     ordered = fleet.successor(("orders", "b", "y"))
     fleet = ordered.successor(("gets", next(iter(ordered.orders))))
