--- a/tansykeel/maintenance/entries.py
+++ b/tansykeel/maintenance/entries.py
@@ -103,5 +103,5 @@
     return _encode(entry)
 
 
-def unpacked(data: bytes) -> AnyEntry:
+def decode_entry(data: bytes) -> AnyEntry:
     return _decode(data)
--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -17,7 +17,7 @@
 from tansykeel.cluster.view_agreement import LeaseTerms
 from tansykeel.maintenance.disruption_budget import Bounds as Room
 from tansykeel.maintenance.disruption_budget import Place
-from tansykeel.maintenance.entries import Back, Leave, Recover, There, encode_entry, unpacked
+from tansykeel.maintenance.entries import Back, Leave, Recover, There, decode_entry, encode_entry
 from tansykeel.maintenance.state import State
 
 SUBJECTS = ("x", "y")
@@ -247,7 +247,7 @@
                 entry = replicated_log.entries[index - replicated_log.base - 1]
                 epoch = state.kept.guess
                 if self.entries.setdefault((epoch, index), entry) != entry:
-                    self.violation = f"two entries decided as number {index}: {unpacked(entry)}"
+                    self.violation = f"two entries decided as number {index}: {decode_entry(entry)}"
 
 
 def settled(names: tuple[str, ...], terms: LeaseTerms, make: AgreementFactory, kind: type[Books] = Books) -> Books:
--- a/tansykeel/maintenance/state.py
+++ b/tansykeel/maintenance/state.py
@@ -24,8 +24,8 @@
     Recover,
     There,
     Went,
+    decode_entry,
     encode_entry,
-    unpacked,
 )
 from tansykeel.maintenance.rollouts import BY_LEADER, GOING_BACK, OVER, PLANNED, SETTLING, Release
 
@@ -75,7 +75,7 @@
     # The ledger's side
 
     def apply(self, index: int, entry: bytes) -> None:
-        self.take(index, unpacked(entry))
+        self.take(index, decode_entry(entry))
 
     def snapshot(self) -> bytes:
         return msgspec.msgpack.encode(self.kept)
--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -10,7 +10,7 @@
 from tansykeel.cluster.model_checker import Bounds, random_runs
 from tansykeel.cluster.replicated_log import ReplicatedLog
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
-from tansykeel.maintenance.entries import Back, Leave, Lost, encode_entry, unpacked
+from tansykeel.maintenance.entries import Back, Leave, Lost, decode_entry, encode_entry
 from tansykeel.maintenance.model_checker import Books, settled
 from tansykeel.maintenance.state import State
 
@@ -156,4 +156,4 @@
     assert not x.leads  # no elector answers: entries may be committed that no voter of this view knows
     deliver(x.recover_without_electors(1), new[0])
     assert x.leads and not any(log.machine.kept.known for log in logs.values() if log.commit)
-    assert x.commit == 1 and unpacked(x.entries[0]) == Lost(2)
+    assert x.commit == 1 and decode_entry(x.entries[0]) == Lost(2)
