--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -121,7 +121,7 @@
                         self.cluster_member.agreement.number,
                         replicated_log.last_index,
                         self.state.kept,
-                        tuple(self.state.against(steps[0])) if steps else (),
+                        tuple(self.state.denial_reasons(steps[0])) if steps else (),
                     )
                 )
             case Offered(entry):
@@ -147,7 +147,7 @@
         elif out is not None and replicated_log.leads and now - since < self.controller.pace.patience:
             return  # until a majority has confirmed that this gateway leads, or the agent has waited too long
         else:
-            reply(Wait(tuple(self.state.against(name))))
+            reply(Wait(tuple(self.state.denial_reasons(name))))
         self.pending.pop(name, None)
 
     def _places(self) -> dict[str, Place]:
--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -162,7 +162,7 @@
         return [
             Leave(name, ask.boot, ask.wants, "its agent")
             for name, (ask, _) in self.asks.items()
-            if ask.wants and name not in kept.out and not self.state.against(name)
+            if ask.wants and name not in kept.out and not self.state.denial_reasons(name)
         ]
 
     def _late(self, now: int, release: Release) -> list[AnyEntry]:
@@ -184,7 +184,7 @@
             asked = self.asks.get(name)
             if asked is None or now - asked[1] > self.pace.patience:
                 continue  # its agent is not there: the others need not wait for it
-            if not self.state.against(name) or self.state.turns_back(name, release):
+            if not self.state.denial_reasons(name) or self.state.turns_back(name, release):
                 return [Leave(name, asked[0].boot, release.name, release.by, release.name, back)]
         return []
 
--- a/tansykeel/maintenance/state.py
+++ b/tansykeel/maintenance/state.py
@@ -93,7 +93,7 @@
 
     # What is asked of it
 
-    def against(self, name: str) -> list[str]:
+    def denial_reasons(self, name: str) -> list[str]:
         """What speaks against one more going out now; nothing: it may."""
         kept = self.kept
         if not kept.known:
@@ -174,7 +174,7 @@
         self.kept.refused = [*self.kept.refused[-MOST_REFUSED + 1 :], Refused(index, what, why)]
 
     def _leave(self, index: int, leave: Leave) -> None:
-        against, release = self.against(leave.name), None
+        against, release = self.denial_reasons(leave.name), None
         if leave.release:
             release = self.kept.releases.get(leave.release)
             if release is not None and leave.back and self.turns_back(leave.name, release):
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -47,9 +47,9 @@
     from tansykeel.maintenance.entries import Asked
 
     made = state(Asked(45.0, 0.0), share=0.5, zone=0.9)
-    assert made.against("s0") == []
+    assert made.denial_reasons("s0") == []
     made.take(9, Asked(46.0, 0.0))
-    assert "spare power: 46 units a second" in made.against("s0")[0]
+    assert "spare power: 46 units a second" in made.denial_reasons("s0")[0]
 
 
 @pytest.mark.parametrize("why", ["died", "drains"])
