--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -113,7 +113,7 @@
                 self.pending[message.name] = now, reply
                 self._answer(now, message.name, now, reply)
             case StatusAsk():
-                release = self.state.under_way()
+                release = self.state.active_release()
                 steps = release.steps()[:1] if release else []
                 reply(
                     Status(
@@ -201,7 +201,7 @@
 
     def _compare(self, by_gateway: dict[str, dict[str, Seen]]) -> None:
         """Give the controller the counts of one interval: of gateways with the new version, and of the others."""
-        release = self.state.under_way()
+        release = self.state.active_release()
         if release is None:
             return
         newer = {name for name in release.went if name not in release.returned}
--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -109,7 +109,7 @@
         ]
         wanted += self._backs(alive)
         wanted += self._by_hand()
-        if (release := self.state.under_way()) is not None:
+        if (release := self.state.active_release()) is not None:
             wanted += self._late(now, release)
             wanted += self._steps(now, release)
             wanted += self._compared(now, release)
--- a/tansykeel/maintenance/state.py
+++ b/tansykeel/maintenance/state.py
@@ -125,7 +125,7 @@
         out = self.kept.out.get(name)
         return self.kept.known and release.state == GOING_BACK and out is not None and out.release == release.name
 
-    def under_way(self) -> Release | None:
+    def active_release(self) -> Release | None:
         """The release whose turn it is: one that goes back before any other, else the one that began."""
         open_ = [release for release in self.kept.releases.values() if release.state not in OVER]
         back = [release for release in open_ if release.state == GOING_BACK]
@@ -181,7 +181,7 @@
                 against = []  # it takes no more room than it has
             if (
                 release is None
-                or release is not self.under_way()
+                or release is not self.active_release()
                 or leave.name not in release.steps()
                 or leave.back is not (release.state == GOING_BACK)
             ):
@@ -257,7 +257,7 @@
 
     def _begin(self) -> None:
         """The next planned release begins once no other is under way."""
-        if self.under_way() is None:
+        if self.active_release() is None:
             for release in self.kept.releases.values():
                 if release.state == PLANNED:
                     return release.move("begin")
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -127,7 +127,7 @@
     assert (kept.state, kept.steps(), other.state) == ("halted", [], "planned")
     made.take(32, Back("g4", 2, 30))  # what was on its way ended its step
     made.take(33, Move("r", "back", "", "me"))
-    assert kept.steps() == ["g4", "g2", "g0"] and made.under_way() is kept
+    assert kept.steps() == ["g4", "g2", "g0"] and made.active_release() is kept
     through(made, ["g4", "g2", "g0"], 40, back=True)
     assert kept.state == "given up" and other.state == "waiting"
 
