--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -114,7 +114,7 @@
                 self._answer(now, message.name, now, reply)
             case StatusAsk():
                 release = self.state.active_release()
-                steps = release.steps()[:1] if release else []
+                steps = release.next_targets()[:1] if release else []
                 reply(
                     Status(
                         self.cluster_member.me.name,
--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -180,7 +180,7 @@
         if release.state not in (WAITING, GOING, GOING_BACK):
             return []
         back = release.state == GOING_BACK
-        for name in release.steps():
+        for name in release.next_targets():
             asked = self.asks.get(name)
             if asked is None or now - asked[1] > self.pace.patience:
                 continue  # its agent is not there: the others need not wait for it
--- a/tansykeel/maintenance/rollouts.py
+++ b/tansykeel/maintenance/rollouts.py
@@ -54,7 +54,7 @@
     def move(self, what: str) -> None:
         self.state = MOVES[what][self.state]
 
-    def steps(self) -> list[str]:
+    def next_targets(self) -> list[str]:
         """Who may be given leave for it now, in order; who is on the way already is not among them."""
         if self.state in (WAITING, GOING):
             return [name for name in self.waves[self.wave] if name not in self.went]
--- a/tansykeel/maintenance/state.py
+++ b/tansykeel/maintenance/state.py
@@ -182,7 +182,7 @@
             if (
                 release is None
                 or release is not self.active_release()
-                or leave.name not in release.steps()
+                or leave.name not in release.next_targets()
                 or leave.back is not (release.state == GOING_BACK)
             ):
                 against.append(f"it is no step of {leave.release} now")
@@ -249,7 +249,7 @@
 
     def _rests(self, release: Release) -> bool:
         """Whether nobody is out for it, and nobody may go next."""
-        return not release.steps() and all(out.release != release.name for out in self.kept.out.values())
+        return not release.next_targets() and all(out.release != release.name for out in self.kept.out.values())
 
     def _end(self, release: Release) -> None:
         release.move("end")
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -105,11 +105,11 @@
 def test_a_release_goes_wave_by_wave():
     made = release()
     kept = made.kept.releases["r"]
-    assert kept.state == "waiting" and kept.steps() == ["g0"]
+    assert kept.state == "waiting" and kept.next_targets() == ["g0"]
     made.take(10, leave("g2", "r"))
     assert "it is no step of r now" in made.kept.refused[-1].why[0]
     through(made, ["g0"], 11)
-    assert kept.state == "settling" and kept.steps() == []
+    assert kept.state == "settling" and kept.next_targets() == []
     made.take(20, Move("r", "next", "", ""))
     through(made, ["g2", "g4"], 21)
     made.take(30, Move("r", "next", "", ""))
@@ -124,10 +124,10 @@
     through(made, ["g2"], 21)
     made.take(30, leave("g4", "r"))
     made.take(31, Move("r", "halt", "worse", ""))
-    assert (kept.state, kept.steps(), other.state) == ("halted", [], "planned")
+    assert (kept.state, kept.next_targets(), other.state) == ("halted", [], "planned")
     made.take(32, Back("g4", 2, 30))  # what was on its way ended its step
     made.take(33, Move("r", "back", "", "me"))
-    assert kept.steps() == ["g4", "g2", "g0"] and made.active_release() is kept
+    assert kept.next_targets() == ["g4", "g2", "g0"] and made.active_release() is kept
     through(made, ["g4", "g2", "g0"], 40, back=True)
     assert kept.state == "given up" and other.state == "waiting"
 
@@ -168,7 +168,7 @@
     made = release(leave("g0", "r"), Went("s0", "died"))
     other = State()
     other.restore(made.snapshot())
-    assert other.snapshot() == made.snapshot() and other.kept.releases["r"].steps() == []
+    assert other.snapshot() == made.snapshot() and other.kept.releases["r"].next_targets() == []
 
 
 def compared(new, old, stretches=40, tasks=10, **terms):
