--- a/tansykeel/maintenance/model_checker.py
+++ b/tansykeel/maintenance/model_checker.py
@@ -123,7 +123,7 @@
         super()._start(name)
         state = State(known=True)
         state.kept.bounds = ROOM
-        state.take(0, PLACES)
+        state.apply_entry(0, PLACES)
         self.ledgers[name] = ReplicatedLog(self.alive[name].me, state, LEASE, self.clock(name))
 
     def _own(self, name: str) -> ReplicatedLog:
--- a/tansykeel/maintenance/state.py
+++ b/tansykeel/maintenance/state.py
@@ -75,7 +75,7 @@
     # The ledger's side
 
     def apply(self, index: int, entry: bytes) -> None:
-        self.take(index, decode_entry(entry))
+        self.apply_entry(index, decode_entry(entry))
 
     def snapshot(self) -> bytes:
         return msgspec.msgpack.encode(self.kept)
@@ -132,7 +132,7 @@
         begun = back or [release for release in open_ if release.state != PLANNED]
         return begun[0] if begun else None
 
-    def take(self, index: int, entry: AnyEntry) -> None:
+    def apply_entry(self, index: int, entry: AnyEntry) -> None:
         kept = self.kept
         match entry:
             case There(places, gone):
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -17,7 +17,7 @@
 def state(*entries, **bounds):
     made = State(known=True)
     for index, entry in enumerate((There((*GATEWAYS, *STORES)), Bounded(Bounds(**bounds)), *entries), 1):
-        made.take(index, entry)
+        made.apply_entry(index, entry)
     return made
 
 
@@ -39,7 +39,7 @@
 def test_each_bound_holds_by_itself(out, bounds, name, says):
     made = state(*map(leave, out), **bounds)
     assert list(made.kept.out) == out
-    made.take(50, leave(name))
+    made.apply_entry(50, leave(name))
     assert list(made.kept.out) == out and says in made.kept.refused[-1].why[0]
 
 
@@ -48,19 +48,19 @@
 
     made = state(Asked(45.0, 0.0), share=0.5, zone=0.9)
     assert made.denial_reasons("s0") == []
-    made.take(9, Asked(46.0, 0.0))
+    made.apply_entry(9, Asked(46.0, 0.0))
     assert "spare power: 46 units a second" in made.denial_reasons("s0")[0]
 
 
 @pytest.mark.parametrize("why", ["died", "drains"])
 def test_what_went_unasked_takes_room_and_only_being_seen_gives_it_back(why):
     made = state(Went("g2", why), Went("g4", why), share=0.2)
-    made.take(9, leave("g3"))
+    made.apply_entry(9, leave("g3"))
     assert "g3" not in made.kept.out
-    made.take(10, Back("g2", 2, made.kept.out["g4"].number))  # of another leave
+    made.apply_entry(10, Back("g2", 2, made.kept.out["g4"].number))  # of another leave
     assert "g2" in made.kept.out
-    made.take(11, Back("g2", 2, made.kept.out["g2"].number))
-    made.take(12, leave("g3"))
+    made.apply_entry(11, Back("g2", 2, made.kept.out["g2"].number))
+    made.apply_entry(12, leave("g3"))
     assert set(made.kept.out) == {"g4", "g3"}
 
 
@@ -69,25 +69,25 @@
     assert "s0" not in made.kept.out  # s1 holds the shard too
     made = state(Went("s0", "drains"), Went("s1", "died"), There((), ("s0",)), share=0.5)
     assert "s0" in made.kept.out
-    made.take(9, There((Place("s9", "store", 0, 0),), ("s0",)))
+    made.apply_entry(9, There((Place("s9", "store", 0, 0),), ("s0",)))
     assert "s0" not in made.kept.out and "s0" not in made.kept.places
 
 
 def test_a_life_that_was_given_leave_is_not_back_itself():
     made = state(leave("g2"))
     number = made.kept.out["g2"].number
-    made.take(9, Back("g2", 1, number))
+    made.apply_entry(9, Back("g2", 1, number))
     assert "g2" in made.kept.out
-    made.take(10, Back("g2", 2, number))
+    made.apply_entry(10, Back("g2", 2, number))
     assert "g2" not in made.kept.out
 
 
 def test_a_state_that_is_a_guess_lets_nobody_go_until_an_operator_says_what_is_out():
     made = state(Lost(7))
-    made.take(9, leave("g2"))
+    made.apply_entry(9, leave("g2"))
     assert not made.kept.out and "accord recover" in made.kept.refused[-1].why[0]
-    made.take(10, Recover((("g5", "seen dead"),), "me"))
-    made.take(11, leave("g2"))
+    made.apply_entry(10, Recover((("g5", "seen dead"),), "me"))
+    made.apply_entry(11, leave("g2"))
     assert set(made.kept.out) == {"g5", "g2"} and made.kept.guess == 7
 
 
@@ -97,8 +97,8 @@
 
 def through(made, names, at, back=False):
     for name in names:
-        made.take(at, leave(name, "r", back))
-        made.take(at + 1, Back(name, 2, at))
+        made.apply_entry(at, leave(name, "r", back))
+        made.apply_entry(at + 1, Back(name, 2, at))
         at += 2
 
 
@@ -106,13 +106,13 @@
     made = release()
     kept = made.kept.releases["r"]
     assert kept.state == "waiting" and kept.next_targets() == ["g0"]
-    made.take(10, leave("g2", "r"))
+    made.apply_entry(10, leave("g2", "r"))
     assert "it is no step of r now" in made.kept.refused[-1].why[0]
     through(made, ["g0"], 11)
     assert kept.state == "settling" and kept.next_targets() == []
-    made.take(20, Move("r", "next", "", ""))
+    made.apply_entry(20, Move("r", "next", "", ""))
     through(made, ["g2", "g4"], 21)
-    made.take(30, Move("r", "next", "", ""))
+    made.apply_entry(30, Move("r", "next", "", ""))
     assert kept.state == "done"
 
 
@@ -120,13 +120,13 @@
     made = release(Plan("other", "x", "old", (("g6",),), "me"))
     kept, other = made.kept.releases["r"], made.kept.releases["other"]
     through(made, ["g0"], 11)
-    made.take(20, Move("r", "next", "", ""))
+    made.apply_entry(20, Move("r", "next", "", ""))
     through(made, ["g2"], 21)
-    made.take(30, leave("g4", "r"))
-    made.take(31, Move("r", "halt", "worse", ""))
+    made.apply_entry(30, leave("g4", "r"))
+    made.apply_entry(31, Move("r", "halt", "worse", ""))
     assert (kept.state, kept.next_targets(), other.state) == ("halted", [], "planned")
-    made.take(32, Back("g4", 2, 30))  # what was on its way ended its step
-    made.take(33, Move("r", "back", "", "me"))
+    made.apply_entry(32, Back("g4", 2, 30))  # what was on its way ended its step
+    made.apply_entry(33, Move("r", "back", "", "me"))
     assert kept.next_targets() == ["g4", "g2", "g0"] and made.active_release() is kept
     through(made, ["g4", "g2", "g0"], 40, back=True)
     assert kept.state == "given up" and other.state == "waiting"
@@ -135,9 +135,9 @@
 def test_one_that_never_came_whole_goes_back_without_more_room():
     made = release(leave("g0", "r"), Move("r", "halt", "late", ""), Move("r", "back", "", "me"))
     assert made.turns_back("g0", made.kept.releases["r"])
-    made.take(20, leave("g0", "r", back=True, boot=5))
+    made.apply_entry(20, leave("g0", "r", back=True, boot=5))
     assert made.kept.out["g0"].number == 20 and made.kept.releases["r"].returned == ["g0"]
-    made.take(21, Back("g0", 6, 20))
+    made.apply_entry(21, Back("g0", 6, 20))
     assert made.kept.releases["r"].state == "given up"
 
 
@@ -153,13 +153,13 @@
 def test_a_plan_that_can_t_be_is_refused_and_one_told_twice_is_one(plan, says):
     made = release(Plan("r", "new", "old", (("g0",), ("g2", "g4")), "me"))
     assert made.kept.refused == []
-    made.take(20, plan)
+    made.apply_entry(20, plan)
     assert says in made.kept.refused[-1].why[0] and list(made.kept.releases) == ["r"]
 
 
 def test_what_the_leader_alone_says_is_not_for_operators():
     made = release()
-    made.take(20, Move("r", "out", "", "somebody"))
+    made.apply_entry(20, Move("r", "out", "", "somebody"))
     assert made.kept.refused[-1].what == "out r"
     assert all(state in MOVES["back"] for state in ("waiting", "going", "settling", "halted"))
 
