--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -109,7 +109,7 @@
             case _ if not replicated_log.leads:
                 reply(Elsewhere(replicated_log.leader, self.addresses.get(replicated_log.leader, "")))
             case Ask():
-                self.controller.asked(now, message)
+                self.controller.record_request(now, message)
                 self.pending[message.name] = now, reply
                 self._answer(now, message.name, now, reply)
             case StatusAsk():
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -245,7 +245,7 @@
             if cluster_member.replicated_log.leader and self._passes(gateway, ask.name):
                 self.machines[ask.name].target = cluster_member.replicated_log.leader
             return
-        controller.asked(self.now(), ask)
+        controller.record_request(self.now(), ask)
         self.machines[ask.name].target = gateway
         self._answer(gateway, ask.name, at, 0)
 
--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -63,7 +63,7 @@
 
     # What agents say
 
-    def asked(self, now: int, ask: Ask) -> None:
+    def record_request(self, now: int, ask: Ask) -> None:
         self.asks[ask.name] = ask, now
 
     def answer(self, now: int, name: str, confirmed: int) -> Order | None:
