--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -142,7 +142,7 @@
         replicated_log = self.cluster_member.replicated_log
         assert replicated_log is not None
         out = self.state.kept.out.get(name)
-        if (order := self.controller.answer(now, name, replicated_log.leader_confirmed_at(now))) is not None:
+        if (order := self.controller.order_for(now, name, replicated_log.leader_confirmed_at(now))) is not None:
             reply(order)
         elif out is not None and replicated_log.leads and now - since < self.controller.pace.patience:
             return  # until a majority has confirmed that this gateway leads, or the agent has waited too long
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -253,7 +253,7 @@
         cluster_member, controller = self.cluster_members[gateway], self.controllers[gateway]
         if not self.machines[gateway].up or cluster_member.replicated_log is None:
             return
-        order = controller.answer(self.now(), name, cluster_member.replicated_log.leader_confirmed_at(self.now()))
+        order = controller.order_for(self.now(), name, cluster_member.replicated_log.leader_confirmed_at(self.now()))
         if order is not None and self._passes(gateway, name):
             self.engine.after(self._way(), self._ordered, order, at)
         elif order is None and tries < 5 and name in controller.state.kept.out:
--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -66,7 +66,7 @@
     def record_request(self, now: int, ask: Ask) -> None:
         self.asks[ask.name] = ask, now
 
-    def answer(self, now: int, name: str, confirmed: int) -> Order | None:
+    def order_for(self, now: int, name: str, confirmed: int) -> Order | None:
         """The order that an agent waits for, if there is one and a majority has confirmed it since the agent asked."""
         if name not in self.asks:
             return None
