--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -84,7 +84,7 @@
             self.log.info(
                 "ledger", leads=self.led, view=self.cluster_member.agreement.number, entries=replicated_log.last_index
             )
-        self.controller.leads(now, replicated_log.leads)
+        self.controller.set_leading(now, replicated_log.leads)
         if now // FIGURES_INTERVAL != self.interval:
             self.interval = now // FIGURES_INTERVAL
             self._finish_interval()
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -186,7 +186,7 @@
             return
         cluster_member, controller = self.cluster_members[name], self.controllers[name]
         assert cluster_member.replicated_log is not None
-        controller.leads(self.now(), cluster_member.replicated_log.leads)
+        controller.set_leading(self.now(), cluster_member.replicated_log.leads)
         others = cluster_member.failure_detector.others
         gone = {other.name: "died" for other in others.values() if other.state is MemberState.DEAD}
         alive = [other.name for other in others.values() if other.state is MemberState.ALIVE and other.incarnation] + [
--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -83,7 +83,7 @@
 
     # What it does
 
-    def leads(self, now: int, so: bool) -> None:
+    def set_leading(self, now: int, so: bool) -> None:
         """Whether this gateway leads: what was noted under an earlier lead is old."""
         if not so:
             self.led = -1
