--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -90,7 +90,7 @@
             self._finish_interval()
         if replicated_log.leads:
             gone, alive = self._health()
-            for entry in self.controller.wants(now, self._places(), self.bounds, gone, alive):
+            for entry in self.controller.entries_to_offer(now, self._places(), self.bounds, gone, alive):
                 self.send_to_cluster(self.cluster_member.offer(now, encode_entry(entry))[1])
         for name, (since, reply) in list(self.pending.items()):
             self._answer(now, name, since, reply)
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -201,7 +201,7 @@
             and self.engine.now - self.machines[one].dead_since > 10**6
         }
         alive += [one for one in stores if self._whole(one)]
-        for entry in controller.wants(self.now(), self.places, self.trial.bounds, gone, alive):
+        for entry in controller.entries_to_offer(self.now(), self.places, self.trial.bounds, gone, alive):
             self._offer(name, encode_entry(entry))
         kept = controller.state.kept
         if controller.led >= 0 and not kept.known:
--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -91,7 +91,7 @@
             self.led = now
             self.since, self.settling, self.comparison = {}, {}, None
 
-    def wants(
+    def entries_to_offer(
         self, now: int, places: Mapping[str, Place], bounds: Bounds, gone: Mapping[str, str], alive: Iterable[str]
     ) -> list[AnyEntry]:
         """The entries to offer now. `places`: who there is by settings and list; `gone`: who went unasked and how, by
