--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -125,7 +125,7 @@
                     )
                 )
             case Offered(entry):
-                if isinstance(entry, Recover) and self.controller.recover(now, entry.out, entry.by) is None:
+                if isinstance(entry, Recover) and self.controller.recovery_entry(now, entry.out, entry.by) is None:
                     return reply(Taken(False, "orders of before may still be obeyed; legal: a few seconds later"))
                 added, sent = self.cluster_member.offer(now, encode_entry(entry))
                 self.send_to_cluster(sent)
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -206,7 +206,7 @@
         kept = controller.state.kept
         if controller.led >= 0 and not kept.known:
             out = [(one, "seen") for one, at in self.machines.items() if not at.up or not self._whole(one)]
-            if (word := controller.recover(self.now(), out, "operator")) is not None:
+            if (word := controller.recovery_entry(self.now(), out, "operator")) is not None:
                 self._offer(name, encode_entry(word))
         if controller.led >= 0 and kept.known and "r1" not in kept.releases and len(kept.places) == len(self.places):
             self.began = self.began or self.seconds()
--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -115,7 +115,7 @@
             wanted += self._compared(now, release)
         return wanted[:AT_ONCE]
 
-    def recover(self, now: int, out: Iterable[tuple[str, str]], by: str) -> Recover | None:
+    def recovery_entry(self, now: int, out: Iterable[tuple[str, str]], by: str) -> Recover | None:
         """An operator's word, once no answer that an agent may still obey can be on its way."""
         if self.led < 0 or now - self.led <= 2 * self.pace.patience:
             return None
