--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -215,4 +215,4 @@
                 side[category, zone] = Seen(
                     sum_so_far.tasks + counts.tasks, sum_so_far.served + min(counts.served, counts.tasks)
                 )
-        self.controller.figures(clock(), *sides)
+        self.controller.add_task_counts(clock(), *sides)
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -379,7 +379,7 @@
                 seen[1] += served
         for name, controller in self.controllers.items():
             if self.machines[name].up and controller.led >= 0:
-                controller.figures(
+                controller.add_task_counts(
                     self.now(),
                     {key: Seen(*seen) for key, seen in new.items()},
                     {key: Seen(*seen) for key, seen in old.items()},
--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -121,7 +121,9 @@
             return None
         return Recover(tuple(out), by)
 
-    def figures(self, now: int, new: Mapping[tuple[str, int], Seen], old: Mapping[tuple[str, int], Seen]) -> None:
+    def add_task_counts(
+        self, now: int, new: Mapping[tuple[str, int], Seen], old: Mapping[tuple[str, int], Seen]
+    ) -> None:
         """What new and old ones served in a stretch of time, by class and zone."""
         if self.comparison is not None:
             self.comparison[1].put(new, old)
