--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -204,15 +204,20 @@
         for entry in controller.entries_to_offer(self.now(), self.places, self.trial.bounds, gone, alive):
             self._offer(name, encode_entry(entry))
         kept = controller.state.kept
-        if controller.led >= 0 and not kept.known:
+        if controller.leading_since >= 0 and not kept.known:
             out = [(one, "seen") for one, at in self.machines.items() if not at.up or not self._whole(one)]
             if (word := controller.recovery_entry(self.now(), out, "operator")) is not None:
                 self._offer(name, encode_entry(word))
-        if controller.led >= 0 and kept.known and "r1" not in kept.releases and len(kept.places) == len(self.places):
+        if (
+            controller.leading_since >= 0
+            and kept.known
+            and "r1" not in kept.releases
+            and len(kept.places) == len(self.places)
+        ):
             self.began = self.began or self.seconds()
             self._offer(name, encode_entry(make_plan("r1", "new", "old", self.waves(), "operator")))
         release = kept.releases.get("r1")
-        if controller.led >= 0 and release and release.state == HALTED:
+        if controller.leading_since >= 0 and release and release.state == HALTED:
             what = "back" if "worse" in release.why or "not back" in release.why else "resume"
             self._offer(name, encode_entry(Move("r1", what, release.why, "operator")))
         if release and release.state in (DONE, GIVEN_UP) and not self.took:
@@ -378,7 +383,7 @@
                 seen[0] += tasks
                 seen[1] += served
         for name, controller in self.controllers.items():
-            if self.machines[name].up and controller.led >= 0:
+            if self.machines[name].up and controller.leading_since >= 0:
                 controller.add_task_counts(
                     self.now(),
                     {key: Seen(*seen) for key, seen in new.items()},
--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -59,7 +59,7 @@
         self.settling: dict[tuple[int, int], int] = {}  # by a release's number and wave: since when all of it are back
         self.comparison: tuple[str, Comparison] | None = None  # of a release: evidence counts on from wave to wave
         self.paired = 0  # when new and old ones were last seen side by side
-        self.led = -1  # since when this gateway leads
+        self.leading_since = -1  # since when this gateway leads
 
     # What agents say
 
@@ -86,9 +86,9 @@
     def set_leading(self, now: int, so: bool) -> None:
         """Whether this gateway leads: what was noted under an earlier lead is old."""
         if not so:
-            self.led = -1
-        elif self.led < 0:
-            self.led = now
+            self.leading_since = -1
+        elif self.leading_since < 0:
+            self.leading_since = now
             self.since, self.settling, self.comparison = {}, {}, None
 
     def entries_to_offer(
@@ -97,7 +97,7 @@
         """The entries to offer now. `places`: who there is by settings and list; `gone`: who went unasked and how, by
         what liveness or the list says; `alive`: of those that went so, who is there and whole."""
         kept = self.state.kept
-        if self.led < 0:
+        if self.leading_since < 0:
             return []
         settled = self._settled(places, bounds, alive)
         if settled or not kept.known:
@@ -117,7 +117,7 @@
 
     def recovery_entry(self, now: int, out: Iterable[tuple[str, str]], by: str) -> Recover | None:
         """An operator's word, once no answer that an agent may still obey can be on its way."""
-        if self.led < 0 or now - self.led <= 2 * self.pace.patience:
+        if self.leading_since < 0 or now - self.leading_since <= 2 * self.pace.patience:
             return None
         return Recover(tuple(out), by)
 
