--- a/tansykeel/maintenance/__init__.py
+++ b/tansykeel/maintenance/__init__.py
@@ -1,4 +1,5 @@
-"""Who may be out: leave for gateways and stores, releases in waves, halts and ways back, as entries of the ledger.
+"""Planned outages of gateways and stores: a disruption budget, and rollouts in waves with a canary analysis.
 
-Decisions without I/O: what stands in an entry, and what the fleet holds true once it is decided. `docs/maintenance.md`.
+Permissions to go out of service, rollouts, halts and rollbacks are entries of the gateways' replicated log. The package
+holds the entries, the state they lead to and what the leader offers; it does no I/O. See `docs/maintenance.md`.
 """
