--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -126,7 +126,7 @@
     ) -> None:
         """What new and old ones served in a stretch of time, by class and zone."""
         if self.comparison is not None:
-            self.comparison[1].put(new, old)
+            self.comparison[1].add(new, old)
             if any(key in old for key in new):
                 self.paired = now
 
@@ -204,7 +204,7 @@
         since = self.settling.setdefault((release.number, release.wave), now)
         # Where nobody is left to compare with, or nothing is asked, the time alone has to do.
         alone = now - self.paired >= self.pace.settles
-        enough = alone or comparison.streams and comparison.settled()
+        enough = alone or comparison.tests and comparison.harm_ruled_out()
         return [Move(release.name, "next", "", "")] if enough and now - since >= self.pace.settles else []
 
 
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -175,7 +175,7 @@
     """Rates of one class of two, the other alike; each stretch as it is in the mean."""
     made = Comparison(Terms(**terms), 2)
     for _ in range(stretches):
-        made.put(
+        made.add(
             {("a", 0): Seen(tasks, round(tasks * new)), ("b", 0): Seen(tasks, round(tasks * old))},
             {("a", 0): Seen(30, round(30 * old)), ("b", 0): Seen(30, round(30 * old))},
         )
@@ -183,9 +183,9 @@
 
 
 def test_a_class_that_is_served_worse_is_named_and_one_alike_is_not():
-    assert compared(0.7, 0.9).worse() == ["a"] and not compared(0.7, 0.9).settled()
+    assert compared(0.7, 0.9).worse() == ["a"] and not compared(0.7, 0.9).harm_ruled_out()
     alike = compared(0.9, 0.9, stretches=90)
-    assert alike.worse() == [] and alike.settled() and not compared(0.9, 0.9, stretches=3).settled()
+    assert alike.worse() == [] and alike.harm_ruled_out() and not compared(0.9, 0.9, stretches=3).harm_ruled_out()
 
 
 def test_the_chance_of_a_halt_for_nothing_is_bounded_whenever_it_is_looked_at():
@@ -196,7 +196,7 @@
         chance, made = Random(seed), Comparison(Terms(alpha=0.05), 1)
         for _ in range(60):
             rate = 0.5 + 0.45 * chance.random()  # whatever else goes on strikes both
-            made.put(
+            made.add(
                 {("a", 0): Seen(8, sum(chance.random() < rate for _ in range(8)))},
                 {("a", 0): Seen(24, sum(chance.random() < rate for _ in range(24)))},
             )
