--- a/tansykeel/maintenance/entries.py
+++ b/tansykeel/maintenance/entries.py
@@ -1,7 +1,7 @@
-"""What is decided once and for all, as entries of the ledger; each is for the state to take or to refuse.
+"""Entries of the maintenance log, each of which the state accepts or refuses when it applies it.
 
-Packed as msgpack by kind and fields. Whoever offers one may be late, cut off or mistaken: the state judges it as of
-when it is decided, not of when it was offered.
+Packed as msgpack by kind and fields. Whoever offers an entry may be late, cut off or mistaken: the state judges it as
+of when it is committed, not of when it was offered.
 """
 
 from __future__ import annotations
@@ -13,49 +13,55 @@
 
 
 class Entry(Struct, frozen=True, array_like=True, tag=True):
-    pass
+    """Base of all entries."""
 
 
 class There(Entry, frozen=True, array_like=True, tag=True):
-    """Who there is, in part or whole: gateways and stores that came or are otherwise now, and those gone for good."""
+    """Changes of the fleet: gateways and stores that are new or have changed, and names of those removed for good."""
 
     places: tuple[Place, ...] = ()
     gone: tuple[str, ...] = ()
 
 
 class Bounded(Entry, frozen=True, array_like=True, tag=True):
-    """The bounds in force from now on."""
+    """The bounds of the disruption budget that hold from this entry on."""
 
     bounds: Bounds
 
 
 class Asked(Entry, frozen=True, array_like=True, tag=True):
-    """Units a second that are asked of all stores, and of all gateways, by the gateways' own figures."""
+    """The load on all stores and on all gateways, in units a second, as the gateways report it."""
 
     of_stores: float
     of_gateways: float
 
 
 class Leave(Entry, frozen=True, array_like=True, tag=True):
-    """Leave for one life of a gateway or store (`boot`) to go out. `release`: of which it is a step; else by hand."""
+    """Permission for a gateway or store to go out of service, for the incarnation `boot` only.
+
+    `release`: the release that takes it out; empty if it goes on its agent's own request.
+    """
 
     name: str
     boot: int
     why: str
     by: str
     release: str = ""
-    back: bool = False  # a step of the release's way back
+    back: bool = False  # whether it goes back to the release's previous version
 
 
 class Went(Entry, frozen=True, array_like=True, tag=True):
-    """It is out unasked: died, drains by itself, or is away by a timetable."""
+    """A gateway or store went out of service unplanned: it died, drains by itself, or is absent by a timetable."""
 
     name: str
     why: str
 
 
 class Back(Entry, frozen=True, array_like=True, tag=True):
-    """It was seen back and whole, in a life `boot`. `number`: of the leave, or of what said that it went."""
+    """A gateway or store was seen back in service and ready, as incarnation `boot`.
+
+    `number`: the index of the `Leave`, `Went` or `Recover` entry by which it is out.
+    """
 
     name: str
     boot: int
@@ -63,17 +69,17 @@
 
 
 class Plan(Entry, frozen=True, array_like=True, tag=True):
-    """A release: a version for gateways or stores in waves, the first of which is the canary."""
+    """A new release: a version to install on gateways or stores in waves, the first of which is the canary."""
 
     name: str
     version: str
-    before: str  # the version that the way back leads to
+    before: str  # the version that a rollback returns to
     waves: tuple[tuple[str, ...], ...]
     by: str
 
 
 class Move(Entry, frozen=True, array_like=True, tag=True):
-    """An operator's or the leader's word on a release: see `releases.MOVES`."""
+    """An action of an operator or the leader on a release, such as a halt: see `rollouts.TRANSITIONS`."""
 
     release: str
     what: str
@@ -82,13 +88,13 @@
 
 
 class Lost(Entry, frozen=True, array_like=True, tag=True):
-    """A view that all formed: what was decided before may be missing."""
+    """The view was formed anew after a majority of voters was lost: entries committed before it may be missing."""
 
     view: int
 
 
 class Recover(Entry, frozen=True, array_like=True, tag=True):
-    """An operator's word on what is out; all else is taken for granted to be there and whole."""
+    """An operator's statement of what is out of service after a loss; everything else is taken to be in service."""
 
     out: tuple[tuple[str, str], ...]  # name and why
     by: str
@@ -100,8 +106,10 @@
 
 
 def encode_entry(entry: AnyEntry) -> bytes:
+    """Encode an entry for the log."""
     return _encode(entry)
 
 
 def decode_entry(data: bytes) -> AnyEntry:
+    """Decode an entry of the log."""
     return _decode(data)
