--- a/tansykeel/maintenance/messages.py
+++ b/tansykeel/maintenance/messages.py
@@ -1,4 +1,4 @@
-"""Messages between agents, operators and gateways about maintenance, and how they are packed."""
+"""Messages about maintenance between the agents of machines, operators and gateways, and their codec."""
 
 from __future__ import annotations
 
@@ -19,54 +19,54 @@
 
 
 class Offered(Struct, frozen=True, array_like=True):
-    """An operator's entry: a plan, a move of a release, or what is out."""
+    """An operator's entry for the log: a new release, an action on one, or what is out of service after a loss."""
 
     entry: Plan | Move | Recover
 
 
 class StatusAsk(Struct, frozen=True, array_like=True):
-    pass
+    """Asks the leader for its `Status`."""
 
 
 class Figures(Struct, frozen=True, array_like=True):
-    """A gateway to whoever leads: what it served of each class in the stretch of time with this number."""
+    """A gateway's task counts by request class, for the leader. `stretch`: number of the time interval."""
 
     stretch: int
     by_class: dict[str, Seen]
 
 
 class Elsewhere(Struct, frozen=True, array_like=True):
-    """The gateway that was asked does not lead. Who does, as far as it knows, and its address by the settings."""
+    """Reply of a gateway that does not lead: the leader, as far as it knows, and its address by the settings."""
 
     leader: str = ""
     address: str = ""
 
 
 class Wait(Struct, frozen=True, array_like=True):
-    """No order now, and what speaks against one."""
+    """Reply to an agent for which there is no order now, with the reasons."""
 
     why: tuple[str, ...] = ()
 
 
 class Status(Struct, frozen=True, array_like=True):
-    """What a gateway that leads holds true."""
+    """The state as the leader has it. `entries`: index of the last entry of its log."""
 
     leader: str
     view: int
     entries: int
     state: Kept
-    against: tuple[str, ...]  # what holds up the next step of the release that is under way
+    against: tuple[str, ...]  # why the next gateway or store of the active release must wait
 
 
 class Taken(Struct, frozen=True, array_like=True):
-    """Whether an operator's entry was taken for the ledger; what became of it shows in the status."""
+    """Whether an operator's entry was appended to the log; its effect shows in the status."""
 
     so: bool
     why: str = ""
 
 
 MaintenanceMessage = Ask | Order | Offered | StatusAsk | Figures | Elsewhere | Wait | Status | Taken
-MOST_BYTES = 60 << 10  # of one message: the whole state of 1,000 gateways and stores, and some to spare
+MAX_MESSAGE_BYTES = 60 << 10  # holds the whole state of 1,000 gateways and stores, with some to spare
 CODEC = MessageCodec[MaintenanceMessage](
-    (Ask, Order, Offered, StatusAsk, Figures, Elsewhere, Wait, Status, Taken), MessageError, MOST_BYTES
+    (Ask, Order, Offered, StatusAsk, Figures, Elsewhere, Wait, Status, Taken), MessageError, MAX_MESSAGE_BYTES
 )
