--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -172,7 +172,7 @@
         for name, out in self.state.kept.out.items():
             if (
                 out.release == release.name
-                and release.can("halt")
+                and release.allows("halt")
                 and now - self.since.get(out.number, now) > self.pace.back
             ):
                 return [Move(release.name, "halt", f"{name} is not back in its time", "")]
--- a/tansykeel/maintenance/rollouts.py
+++ b/tansykeel/maintenance/rollouts.py
@@ -1,14 +1,15 @@
-"""A release as a state machine: its states, the moves between them, and who of it is where. Without I/O.
+"""A release as a state machine: its states, the transitions between them, and its progress. Without I/O.
 
-| state | what goes on |
+| state | meaning |
 | --- | --- |
-| planned | it is known; another release is under way |
-| waiting | its next step waits for room |
-| going | some of its wave are out, or may go |
-| settling | a wave is back and whole; the new ones are compared with the old ones before the next wave |
-| halted | nothing further goes out; who is out ends its step |
-| going back | the newest go back to the version before, before any other release |
-| done, given up | over; given up: halted or planned and let go by an operator, or all the way back |
+| planned | entered in the log; another release is active |
+| waiting | the next gateway or store of the wave waits for the disruption budget |
+| going | some of the wave are out of service, or may go out |
+| settling | all of the wave are back and ready; both versions are compared before the next wave |
+| halted | nothing further goes out; what is out already finishes its step |
+| going back | rollback to the previous version, newest first; takes precedence over other releases |
+| done | finished: the last wave has settled |
+| given up | finished: cancelled by an operator while planned or halted, or rolled back completely |
 """
 
 from __future__ import annotations
@@ -17,45 +18,56 @@
 
 PLANNED, WAITING, GOING, SETTLING, HALTED = "planned", "waiting", "going", "settling", "halted"
 GOING_BACK, DONE, GIVEN_UP = "going back", "done", "given up"
-OVER = (DONE, GIVEN_UP)
-# By what is said of it and the state that it is in: the state that comes of it. What is not here is refused.
-MOVES: dict[str, dict[str, str]] = {
+FINISHED = (DONE, GIVEN_UP)
+# By action and present state: the next state. Everything else is refused.
+TRANSITIONS: dict[str, dict[str, str]] = {
     "begin": {PLANNED: WAITING},
-    "out": {WAITING: GOING, GOING: GOING, GOING_BACK: GOING_BACK},  # leave was given for one of it
-    "wave": {GOING: SETTLING},  # all of the wave are back
-    "next": {SETTLING: WAITING},  # compared, and no worse
-    "end": {SETTLING: DONE, GOING_BACK: GIVEN_UP},  # after the last wave; after the last on the way back
+    "out": {
+        WAITING: GOING,
+        GOING: GOING,
+        GOING_BACK: GOING_BACK,
+    },  # one of its gateways or stores may go out of service
+    "wave": {GOING: SETTLING},  # all of the wave are back and ready
+    "next": {SETTLING: WAITING},  # the comparison found the new version no worse
+    "end": {SETTLING: DONE, GOING_BACK: GIVEN_UP},  # after the last wave; after a complete rollback
     "halt": {PLANNED: HALTED, WAITING: HALTED, GOING: HALTED, SETTLING: HALTED},
     "resume": {HALTED: WAITING},
     "back": {WAITING: GOING_BACK, GOING: GOING_BACK, SETTLING: GOING_BACK, HALTED: GOING_BACK},
     "give up": {PLANNED: GIVEN_UP, HALTED: GIVEN_UP},
 }
-BY_LEADER = ("begin", "out", "wave", "next", "end")  # the state machine makes them itself
+# Refused from operators: the leader and the state itself take these actions.
+LEADER_ACTIONS = ("begin", "out", "wave", "next", "end")
 
 
 class Release(Struct):
-    """`went`: who has the new version, or is on the way to it, in that order; the last go back first."""
+    """A release and its progress.
+
+    `went`: the gateways and stores that have the new version or are out of service to get it, in order; a rollback
+    takes them in reverse order. `returned`: those that have gone out for the rollback. `why`: reason of the last action.
+    """
 
     name: str
     version: str
-    before: str
+    before: str  # the previous version, to which a rollback returns
     waves: tuple[tuple[str, ...], ...]
-    by: str
-    number: int  # of its plan
+    by: str  # the operator who planned it
+    number: int  # index of its `Plan` entry in the log
     state: str = PLANNED
     wave: int = 0
     went: list[str] = []
-    returned: list[str] = []  # on the way back
+    returned: list[str] = []
     why: str = ""
 
-    def can(self, what: str) -> bool:
-        return self.state in MOVES.get(what, {})
+    def allows(self, action: str) -> bool:
+        """Whether the action is legal in the present state."""
+        return self.state in TRANSITIONS.get(action, {})
 
-    def move(self, what: str) -> None:
-        self.state = MOVES[what][self.state]
+    def transition(self, action: str) -> None:
+        """Take an action that is legal in the present state."""
+        self.state = TRANSITIONS[action][self.state]
 
     def next_targets(self) -> list[str]:
-        """Who may be given leave for it now, in order; who is on the way already is not among them."""
+        """Return the gateways and stores that may go out for it now, in order, without those that went already."""
         if self.state in (WAITING, GOING):
             return [name for name in self.waves[self.wave] if name not in self.went]
         if self.state == GOING_BACK:
@@ -63,5 +75,6 @@
         return []
 
     @property
-    def last_wave(self) -> bool:
+    def is_last_wave(self) -> bool:
+        """Whether the present wave is the last one."""
         return self.wave == len(self.waves) - 1
--- a/tansykeel/maintenance/state.py
+++ b/tansykeel/maintenance/state.py
@@ -27,7 +27,7 @@
     decode_entry,
     encode_entry,
 )
-from tansykeel.maintenance.rollouts import BY_LEADER, GOING_BACK, OVER, PLANNED, SETTLING, Release
+from tansykeel.maintenance.rollouts import FINISHED, GOING_BACK, LEADER_ACTIONS, PLANNED, SETTLING, Release
 
 MOST_REFUSED = 64  # refusals that are kept, the newest
 MOST_RELEASES = 32  # releases that are over and kept, the newest
@@ -127,7 +127,7 @@
 
     def active_release(self) -> Release | None:
         """The release whose turn it is: one that goes back before any other, else the one that began."""
-        open_ = [release for release in self.kept.releases.values() if release.state not in OVER]
+        open_ = [release for release in self.kept.releases.values() if release.state not in FINISHED]
         back = [release for release in open_ if release.state == GOING_BACK]
         begun = back or [release for release in open_ if release.state != PLANNED]
         return begun[0] if begun else None
@@ -164,8 +164,8 @@
                 kept.known = True
                 kept.out = {name: Out(index, 0, why, by) for name, why in out if name in kept.places}
                 for one in kept.releases.values():
-                    if one.can("halt"):
-                        one.move("halt")
+                    if one.allows("halt"):
+                        one.transition("halt")
                         one.why = "the fleet's state was lost"
 
     # Within
@@ -191,7 +191,7 @@
         self.kept.out[leave.name] = Out(index, leave.boot, leave.why, leave.by, leave.release)
         if release:
             (release.returned if leave.back else release.went).append(leave.name)
-            release.move("out")
+            release.transition("out")
 
     def _back(self, index: int, name: str, boot: int, number: int) -> None:
         out = self.kept.out.get(name)
@@ -199,11 +199,11 @@
             return  # of an earlier leave, or not yet another life
         del self.kept.out[name]
         release = self.kept.releases.get(out.release)
-        if release is not None and release.state not in OVER and self._rests(release):
+        if release is not None and release.state not in FINISHED and self._rests(release):
             if release.state == GOING_BACK:
                 self._end(release)
-            elif release.can("wave"):
-                release.move("wave")
+            elif release.allows("wave"):
+                release.transition("wave")
 
     def _plan(self, index: int, plan: Plan) -> None:
         releases = self.kept.releases
@@ -219,11 +219,11 @@
         if strange := [name for name in names if name not in self.kept.places]:
             faults.append(f"{', '.join(strange[:5])}: not known")
         for other in releases.values():
-            if other.state not in OVER and (both := {*names} & {name for wave in other.waves for name in wave}):
+            if other.state not in FINISHED and (both := {*names} & {name for wave in other.waves for name in wave}):
                 faults.append(f"{other.name} has {min(both)} too and is not over")
         if faults:
             return self._refuse(index, f"release {plan.name}", *faults)
-        over = [release.name for release in releases.values() if release.state in OVER]
+        over = [release.name for release in releases.values() if release.state in FINISHED]
         for name in over[:-MOST_RELEASES]:
             del releases[name]
         releases[plan.name] = Release(plan.name, plan.version, plan.before, plan.waves, plan.by, index)
@@ -231,15 +231,15 @@
 
     def _move(self, index: int, name: str, what: str, why: str, by: str) -> None:
         release = self.kept.releases.get(name)
-        if release is None or not release.can(what) or what in BY_LEADER and by != "":
+        if release is None or not release.allows(what) or what in LEADER_ACTIONS and by != "":
             return self._refuse(
                 index, f"{what} {name}", "there is none" if release is None else f"it is {release.state}"
             )
-        if what == "next" and release.last_wave:
+        if what == "next" and release.is_last_wave:
             what = "end"
         elif what == "next":
             release.wave += 1
-        release.move(what)
+        release.transition(what)
         release.why = why
         if what == "resume" and self._rests(release):
             release.state = SETTLING  # it was halted while it was compared
@@ -252,7 +252,7 @@
         return not release.next_targets() and all(out.release != release.name for out in self.kept.out.values())
 
     def _end(self, release: Release) -> None:
-        release.move("end")
+        release.transition("end")
         self._begin()
 
     def _begin(self) -> None:
@@ -260,4 +260,4 @@
         if self.active_release() is None:
             for release in self.kept.releases.values():
                 if release.state == PLANNED:
-                    return release.move("begin")
+                    return release.transition("begin")
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -7,7 +7,7 @@
 from tansykeel.maintenance.canary_analysis import Comparison, Seen, Terms
 from tansykeel.maintenance.disruption_budget import Bounds, Place
 from tansykeel.maintenance.entries import Back, Bounded, Leave, Lost, Move, Plan, Recover, There, Went
-from tansykeel.maintenance.rollouts import MOVES
+from tansykeel.maintenance.rollouts import TRANSITIONS
 from tansykeel.maintenance.state import State
 
 GATEWAYS = tuple(Place(f"g{n}", "gateway", n % 2, volumes=("v",) if n < 2 else ("w",)) for n in range(10))
@@ -161,7 +161,7 @@
     made = release()
     made.apply_entry(20, Move("r", "out", "", "somebody"))
     assert made.kept.refused[-1].what == "out r"
-    assert all(state in MOVES["back"] for state in ("waiting", "going", "settling", "halted"))
+    assert all(state in TRANSITIONS["back"] for state in ("waiting", "going", "settling", "halted"))
 
 
 def test_a_snapshot_is_the_state():
