--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -141,7 +141,8 @@
         gone = tuple(
             name
             for name, place in kept.places.items()
-            if name not in places and (name not in kept.out or place.shard in whole and self.state.replaced(name))
+            if name not in places
+            and (name not in kept.out or place.shard in whole and self.state.has_replacement(name))
         )[:MOST_PLACES]
         if came or gone:
             wanted.append(There(came, gone))
@@ -186,7 +187,7 @@
             asked = self.asks.get(name)
             if asked is None or now - asked[1] > self.pace.patience:
                 continue  # its agent is not there: the others need not wait for it
-            if not self.state.denial_reasons(name) or self.state.turns_back(name, release):
+            if not self.state.denial_reasons(name) or self.state.rolls_back_while_out(name, release):
                 return [Leave(name, asked[0].boot, release.name, release.by, release.name, back)]
         return []
 
--- a/tansykeel/maintenance/rollouts.py
+++ b/tansykeel/maintenance/rollouts.py
@@ -43,7 +43,7 @@
     """A release and its progress.
 
     `went`: the gateways and stores that have the new version or are out of service to get it, in order; a rollback
-    takes them in reverse order. `returned`: those that have gone out for the rollback. `why`: reason of the last action.
+    takes them in reverse order. `returned`: those that have gone out for the rollback. `why`: reason for its state.
     """
 
     name: str
--- a/tests/maintenance/test_state.py
+++ b/tests/maintenance/test_state.py
@@ -134,7 +134,7 @@
 
 def test_one_that_never_came_whole_goes_back_without_more_room():
     made = release(leave("g0", "r"), Move("r", "halt", "late", ""), Move("r", "back", "", "me"))
-    assert made.turns_back("g0", made.kept.releases["r"])
+    assert made.rolls_back_while_out("g0", made.kept.releases["r"])
     made.apply_entry(20, leave("g0", "r", back=True, boot=5))
     assert made.kept.out["g0"].number == 20 and made.kept.releases["r"].returned == ["g0"]
     made.apply_entry(21, Back("g0", 6, 20))
