--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -1,7 +1,8 @@
-"""What whoever leads the ledger does about leave: whom it lets go next, what it has seen, when it halts. Without I/O.
+"""The leader's part in maintenance: whom it permits to go out of service next, and when it halts a release.
 
-It only ever offers entries; what comes of them is decided by the state. Machines' agents ask again and again: an agent
-asks, the leader answers once a majority has confirmed that it led at that moment or later.
+The controller only offers entries to the log; the state decides their effect. The agent of a machine asks for an order
+again and again. The leader answers once a majority has confirmed that it led when the agent asked, or later, so that an
+order never comes from a leader that was replaced before. Times are in ticks of 0.1 ms. Without I/O.
 """
 
 from __future__ import annotations
@@ -16,12 +17,17 @@
 from tansykeel.maintenance.rollouts import GOING, GOING_BACK, SETTLING, WAITING, Release
 from tansykeel.maintenance.state import State
 
-AT_ONCE, MOST_PLACES = 8, 64  # entries offered at a time; places told in one
+MAX_ENTRIES = 8  # offered at a time
+MAX_PLACES = 64  # places that one entry adds, and that it removes
 
 
 class Ask(Struct, frozen=True, array_like=True):
-    """A machine's agent: which life (`boot`) of what it runs, the last one where nothing runs; by which leave it went
-    last; whether it is whole: warm, or with its lease; whether it wants to go out by hand, and why."""
+    """Request of a machine's agent for an order.
+
+    `boot`: the incarnation of the program that it runs, or ran last. `went`: number of the order by which it went out
+    last. `whole`: whether the program is ready: a store warm, a gateway with its lease. `wants`: why the machine itself
+    asks to go out of service; empty if it does not.
+    """
 
     name: str
     boot: int
@@ -31,18 +37,25 @@
 
 
 class Order(Struct, frozen=True, array_like=True):
-    """Go out by this leave, come back with this version. Counts for `lasts` tenths from when the agent asked."""
+    """Order to an agent: go out of service, and come back with this version.
+
+    Valid for `lasts` ticks from when the agent asked. An empty `version` means the one that runs. Numbers only grow: an
+    agent refuses an older one.
+    """
 
     name: str
     boot: int
-    number: tuple[int, int]  # the view that lost all last, and the entry
+    number: tuple[int, int]  # the latest view that lost the state, and the index of the entry
     version: str
     lasts: int
 
 
 class Pace(Struct, frozen=True):
-    """Tenths. `patience`: how long an answer to an agent counts; `back`: in which one that is out has to be back and
-    whole; `settles`: that a wave is compared at least."""
+    """Times of the controller, in ticks of 0.1 ms.
+
+    `patience`: how long an order is valid. `back`: within which what went out has to be back and ready. `settles`: for
+    which a wave is compared at least before the next one.
+    """
 
     patience: int = 10_000
     back: int = 600_000
@@ -50,27 +63,32 @@
 
 
 class Controller:
-    """`classes`: of tasks that are compared."""
+    """Decides for the leader which entries to offer. `classes`: number of request classes that are compared."""
 
     def __init__(self, state: State, pace: Pace, terms: Terms, classes: int) -> None:
         self.state, self.pace, self.terms, self.classes = state, pace, terms, classes
-        self.asks: dict[str, tuple[Ask, int]] = {}  # the newest of each, and when it came
-        self.since: dict[int, int] = {}  # by the number of a leave: when it was first seen here
-        self.settling: dict[tuple[int, int], int] = {}  # by a release's number and wave: since when all of it are back
-        self.comparison: tuple[str, Comparison] | None = None  # of a release: evidence counts on from wave to wave
-        self.paired = 0  # when new and old ones were last seen side by side
-        self.leading_since = -1  # since when this gateway leads
+        self.requests: dict[str, tuple[Ask, int]] = {}  # by agent: the latest request and when it came
+        self.first_seen: dict[int, int] = {}  # by number of the entry by which one is out: when it was first seen here
+        # By release number and wave: when all of the wave were first seen back.
+        self.settling_since: dict[tuple[int, int], int] = {}
+        self.comparison: tuple[str, Comparison] | None = None  # by release name; evidence adds up over its waves
+        self.last_compared = 0  # when both versions last had counts in the same class and zone
+        self.leading_since = -1  # since when this gateway leads; -1 if it does not
 
-    # What agents say
+    # Requests of agents
 
     def record_request(self, now: int, ask: Ask) -> None:
-        self.asks[ask.name] = ask, now
+        """Record the request of an agent; the latest one counts."""
+        self.requests[ask.name] = ask, now
 
     def order_for(self, now: int, name: str, confirmed: int) -> Order | None:
-        """The order that an agent waits for, if there is one and a majority has confirmed it since the agent asked."""
-        if name not in self.asks:
+        """Return the order for an agent, if there is one and a majority has confirmed this leader since it asked.
+
+        `confirmed`: the latest time at which a majority has confirmed that this gateway led.
+        """
+        if name not in self.requests:
             return None
-        ask, at = self.asks[name]
+        ask, at = self.requests[name]
         kept, out = self.state.kept, self.state.kept.out.get(name)
         if out is None or not kept.known or confirmed < at or now - at >= self.pace.patience:
             return None
@@ -81,42 +99,48 @@
         version = "" if release is None else release.before if release.state == GOING_BACK else release.version
         return Order(name, ask.boot, number, version, self.pace.patience)
 
-    # What it does
+    # Decisions of the leader
 
-    def set_leading(self, now: int, so: bool) -> None:
-        """Whether this gateway leads: what was noted under an earlier lead is old."""
-        if not so:
+    def set_leading(self, now: int, leads: bool) -> None:
+        """Note whether this gateway leads; what was recorded while it led before is discarded."""
+        if not leads:
             self.leading_since = -1
         elif self.leading_since < 0:
             self.leading_since = now
-            self.since, self.settling, self.comparison = {}, {}, None
+            self.first_seen, self.settling_since, self.comparison = {}, {}, None
 
     def entries_to_offer(
         self, now: int, places: Mapping[str, Place], bounds: Bounds, gone: Mapping[str, str], alive: Iterable[str]
     ) -> list[AnyEntry]:
-        """The entries to offer now. `places`: who there is by settings and list; `gone`: who went unasked and how, by
-        what liveness or the list says; `alive`: of those that went so, who is there and whole."""
+        """Return the entries to offer now.
+
+        `places`: all gateways and stores by the settings and the store list. `gone`: what went out unplanned, with the
+        reason, by failure detector and store list. `alive`: what is in service and ready by the same sources.
+        """
         kept = self.state.kept
         if self.leading_since < 0:
             return []
-        settled = self._settled(places, bounds, alive)
-        if settled or not kept.known:
-            return settled
+        changes = self._fleet_changes(places, bounds, alive)
+        if changes or not kept.known:
+            return changes
         for out in kept.out.values():
-            self.since.setdefault(out.number, now)
-        wanted: list[AnyEntry] = [
+            self.first_seen.setdefault(out.number, now)
+        entries: list[AnyEntry] = [
             Went(name, why) for name, why in gone.items() if name in kept.places and name not in kept.out
         ]
-        wanted += self._backs(alive)
-        wanted += self._by_hand()
+        entries += self._returns(alive)
+        entries += self._agent_requests()
         if (release := self.state.active_release()) is not None:
-            wanted += self._late(now, release)
-            wanted += self._steps(now, release)
-            wanted += self._compared(now, release)
-        return wanted[:AT_ONCE]
+            entries += self._halt_if_late(now, release)
+            entries += self._next_step(now, release)
+            entries += self._evaluate_wave(now, release)
+        return entries[:MAX_ENTRIES]
 
     def recovery_entry(self, now: int, out: Iterable[tuple[str, str]], by: str) -> Recover | None:
-        """An operator's word, once no answer that an agent may still obey can be on its way."""
+        """Return the entry for an operator's statement of what is out of service.
+
+        None if this gateway does not lead, or while an agent may still obey an order from before it led.
+        """
         if self.leading_since < 0 or now - self.leading_since <= 2 * self.pace.patience:
             return None
         return Recover(tuple(out), by)
@@ -124,75 +148,78 @@
     def add_task_counts(
         self, now: int, new: Mapping[tuple[str, int], Seen], old: Mapping[tuple[str, int], Seen]
     ) -> None:
-        """What new and old ones served in a stretch of time, by class and zone."""
+        """Add the task counts of both versions in one interval to the comparison, by class and zone."""
         if self.comparison is not None:
             self.comparison[1].add(new, old)
             if any(key in old for key in new):
-                self.paired = now
+                self.last_compared = now
 
-    # Within
+    # Implementation
 
-    def _settled(self, places: Mapping[str, Place], bounds: Bounds, alive: Iterable[str]) -> list[AnyEntry]:
-        kept, wanted = self.state.kept, list[AnyEntry]()
+    def _fleet_changes(self, places: Mapping[str, Place], bounds: Bounds, alive: Iterable[str]) -> list[AnyEntry]:
+        """Return entries for bounds and places that differ from those in the state."""
+        kept, entries = self.state.kept, list[AnyEntry]()
         if kept.bounds != bounds:
-            wanted.append(Bounded(bounds))
-        came = tuple(place for place in places.values() if kept.places.get(place.name) != place)[:MOST_PLACES]
-        whole = {kept.places[name].shard for name in alive if name in kept.places}
+            entries.append(Bounded(bounds))
+        changed = tuple(place for place in places.values() if kept.places.get(place.name) != place)[:MAX_PLACES]
+        ready_shards = {kept.places[name].shard for name in alive if name in kept.places}
         gone = tuple(
             name
             for name, place in kept.places.items()
             if name not in places
-            and (name not in kept.out or place.shard in whole and self.state.has_replacement(name))
-        )[:MOST_PLACES]
-        if came or gone:
-            wanted.append(There(came, gone))
-        return wanted
-
-    def _backs(self, alive: Iterable[str]) -> list[AnyEntry]:
-        """Who is seen back and whole. Never because time has passed."""
+            and (name not in kept.out or place.shard in ready_shards and self.state.has_replacement(name))
+        )[:MAX_PLACES]
+        if changed or gone:
+            entries.append(There(changed, gone))
+        return entries
+
+    def _returns(self, alive: Iterable[str]) -> list[AnyEntry]:
+        """Return entries for what is seen back and ready; that time has passed is never enough."""
         kept, found = self.state.kept, list[AnyEntry]()
-        there = set(alive)
+        in_service = set(alive)
         for name, out in kept.out.items():
-            ask = self.asks[name][0] if name in self.asks else None
+            ask = self.requests[name][0] if name in self.requests else None
             if ask is not None and ask.whole and ask.boot > out.boot:
                 found.append(Back(name, ask.boot, out.number))
-            elif out.boot == 0 and name in there:
+            elif out.boot == 0 and name in in_service:
                 found.append(Back(name, 1, out.number))
         return found
 
-    def _by_hand(self) -> list[AnyEntry]:
+    def _agent_requests(self) -> list[AnyEntry]:
+        """Return permissions for machines that ask themselves to go out of service."""
         kept = self.state.kept
         return [
             Leave(name, ask.boot, ask.wants, "its agent")
-            for name, (ask, _) in self.asks.items()
+            for name, (ask, _) in self.requests.items()
             if ask.wants and name not in kept.out and not self.state.denial_reasons(name)
         ]
 
-    def _late(self, now: int, release: Release) -> list[AnyEntry]:
-        """Guards against a release that goes on though those it took out do not come back."""
+    def _halt_if_late(self, now: int, release: Release) -> list[AnyEntry]:
+        """Halt a release if something that it took out of service is not back in time."""
         for name, out in self.state.kept.out.items():
             if (
                 out.release == release.name
                 and release.allows("halt")
-                and now - self.since.get(out.number, now) > self.pace.back
+                and now - self.first_seen.get(out.number, now) > self.pace.back
             ):
                 return [Move(release.name, "halt", f"{name} is not back in its time", "")]
         return []
 
-    def _steps(self, now: int, release: Release) -> list[AnyEntry]:
+    def _next_step(self, now: int, release: Release) -> list[AnyEntry]:
+        """Permit the next gateway or store of a release to go out, if the budget allows it."""
         if release.state not in (WAITING, GOING, GOING_BACK):
             return []
         back = release.state == GOING_BACK
         for name in release.next_targets():
-            asked = self.asks.get(name)
-            if asked is None or now - asked[1] > self.pace.patience:
-                continue  # its agent is not there: the others need not wait for it
+            request = self.requests.get(name)
+            if request is None or now - request[1] > self.pace.patience:
+                continue  # its agent does not ask: the others need not wait for it
             if not self.state.denial_reasons(name) or self.state.rolls_back_while_out(name, release):
-                return [Leave(name, asked[0].boot, release.name, release.by, release.name, back)]
+                return [Leave(name, request[0].boot, release.name, release.by, release.name, back)]
         return []
 
-    def _compared(self, now: int, release: Release) -> list[AnyEntry]:
-        """While a wave goes and settles, the new ones are compared with the old ones."""
+    def _evaluate_wave(self, now: int, release: Release) -> list[AnyEntry]:
+        """Halt a release that serves worse; let the next wave begin once the present one has settled."""
         if release.state not in (GOING, WAITING, SETTLING) or not release.went:
             return []
         if self.comparison is None or self.comparison[0] != release.name:
@@ -202,12 +229,13 @@
             return [Move(release.name, "halt", f"the new ones serve {', '.join(sorted(worse))} worse", "")]
         if release.state != SETTLING:
             return []
-        since = self.settling.setdefault((release.number, release.wave), now)
-        # Where nobody is left to compare with, or nothing is asked, the time alone has to do.
-        alone = now - self.paired >= self.pace.settles
-        enough = alone or comparison.tests and comparison.harm_ruled_out()
+        since = self.settling_since.setdefault((release.number, release.wave), now)
+        # Without counts of both versions, because none is left with the old one or no tasks come, time alone decides.
+        no_counts = now - self.last_compared >= self.pace.settles
+        enough = no_counts or comparison.tests and comparison.harm_ruled_out()
         return [Move(release.name, "next", "", "")] if enough and now - since >= self.pace.settles else []
 
 
 def make_plan(name: str, version: str, before: str, waves: Iterable[Iterable[str]], by: str) -> Plan:
+    """Return the entry that plans a release."""
     return Plan(name, version, before, tuple(tuple(wave) for wave in waves), by)
--- a/tests/maintenance/test_rollout_simulation.py
+++ b/tests/maintenance/test_rollout_simulation.py
@@ -45,6 +45,6 @@
 
 
 def test_leave_counted_back_unseen_is_named_by_the_judge(monkeypatch):
-    monkeypatch.setattr(Controller, "_backs", counted_back_by_time)
+    monkeypatch.setattr(Controller, "_returns", counted_back_by_time)
     played = World(Trial(seconds=160), 1).play()
     assert any("goes out though the gateways of" in line for line in played.broken)
