--- a/tests/maintenance/test_model_checker.py
+++ b/tests/maintenance/test_model_checker.py
@@ -1,4 +1,4 @@
-"""Log and leave in random event orders: no invariant is violated, and each planted fault is found."""
+"""The maintenance log under random event orders: no invariant is violated, and each planted fault is found."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from tansykeel.cluster.replicated_log import ReplicatedLog
 from tansykeel.cluster.view_agreement import LeaseTerms, ViewAgreement
 from tansykeel.maintenance.entries import Back, Leave, Lost, decode_entry, encode_entry
-from tansykeel.maintenance.model_checker import Books, settled
+from tansykeel.maintenance.model_checker import MaintenanceFleet, form_log_fleet
 from tansykeel.maintenance.state import State
 
 NAMES, TERMS = ("a", "b", "c"), LeaseTerms(lease=2, drift=0.0)
 ALL = dict(ticks=8, proposals=2, crashes=1, restarts=2, forms=1)
-CALM = dict(ticks=3, proposals=0, crashes=0, restarts=0, forms=0)
+NO_FAULTS = dict(ticks=3, proposals=0, crashes=0, restarts=0, forms=0)
 
 
-class SameIncarnation(Books):
+class SameIncarnation(MaintenanceFleet):
     """A voter that restarted without its state keeps its incarnation and so votes on what it forgot."""
 
     def _start(self, name):
@@ -27,117 +27,125 @@
         super()._start(name)
 
 
-class Timed(Books):
-    """Leave is counted back though nobody saw it back."""
+class CountsBackUnseen(MaintenanceFleet):
+    """A leader counts a machine as back in service though nobody saw it back."""
 
-    def _seen_back(self, replicated_log, name):
+    def _is_seen_back(self, replicated_log, name):
         return replicated_log.leads and name in self._state(replicated_log).kept.out
 
-    def _of_leader(self, kind, name, what):
+    def _apply_leader_event(self, kind, name, arguments):
         if kind != "sees":
-            return super()._of_leader(kind, name, what)
-        replicated_log = self._own(name)
-        if not self._seen_back(replicated_log, what[0]):
+            return super()._apply_leader_event(kind, name, arguments)
+        replicated_log = self._writable_log(name)
+        if not self._is_seen_back(replicated_log, arguments[0]):
             return False
-        out = self._state(replicated_log).kept.out[what[0]]
-        self._offer(name, replicated_log, Back(what[0], out.boot + 1, out.number))
+        out = self._state(replicated_log).kept.out[arguments[0]]
+        self._offer(name, replicated_log, Back(arguments[0], out.boot + 1, out.number))
         return True
 
 
-class Obedient(Books):
-    """Whatever goes out goes by any order, however old and of whichever life."""
+class ObeysAnyOrder(MaintenanceFleet):
+    """A machine obeys any order, however old and for whichever incarnation."""
 
-    def _obeys(self, subject, order):
-        return not subject.out
+    def _accepts(self, machine, order):
+        return not machine.out
 
 
-class Deaf(Books):
-    """A leader's orders need nobody who still follows it."""
+class UnconfirmedLeader(MaintenanceFleet):
+    """A leader gives orders without a majority that still follows it, and machines do not check the order's age."""
 
-    def _confirmed(self, replicated_log):
+    def _leader_confirmed(self, replicated_log):
         return True
 
-    def _obeys(self, subject, order):
-        return not subject.out and order.boot == subject.boot
+    def _accepts(self, machine, order):
+        return not machine.out and order.boot == machine.boot
 
 
 def test_no_event_order_violates_an_invariant():
     for seed in (1, 2):
-        found = random_runs(settled(NAMES, TERMS, ViewAgreement), Bounds(states=3_000, **ALL), seed, 150, by_kind=True)
+        found = random_runs(
+            form_log_fleet(NAMES, TERMS, ViewAgreement), Bounds(states=3_000, **ALL), seed, 150, by_kind=True
+        )
         assert found.violation == "" and found.states >= 3_000
 
 
 @pytest.mark.parametrize(
     "kind, violation, bounds, step",
     [
-        (SameIncarnation, "two entries decided", ALL, "restarts"),
-        (Timed, "more out than the bounds", CALM, "sees"),
-        (Obedient, "more out than the bounds", CALM, "gets"),
+        (SameIncarnation, "two entries committed", ALL, "restarts"),
+        (CountsBackUnseen, "more out of service than the bounds", NO_FAULTS, "sees"),
+        (ObeysAnyOrder, "more out of service than the bounds", NO_FAULTS, "gets"),
     ],
 )
-def test_a_planted_fault_is_found(kind, violation, bounds, step):
+def test_planted_fault_is_found(kind, violation, bounds, step):
     found = random_runs(
-        settled(NAMES, TERMS, ViewAgreement, kind), Bounds(states=40_000, **bounds), 1, 150, by_kind=True
+        form_log_fleet(NAMES, TERMS, ViewAgreement, kind), Bounds(states=40_000, **bounds), 1, 150, by_kind=True
     )
     assert found.violation.startswith(violation) and any(step in line for line in found.trace) and len(found.trace) < 50
 
 
-def all_hear(fleet, *cut):
+def deliver_all(fleet, *cut):
+    """Let all messages and the replies to them arrive, except between the pairs in `cut`."""
     for _ in range(4):
-        for word in list(fleet.sent):
-            if {word[0], word[1].name} not in cut:
-                fleet = fleet.successor(("arrives", *word)) or fleet
+        for message in list(fleet.sent):
+            if {message[0], message[1].name} not in cut:
+                fleet = fleet.successor(("arrives", *message)) or fleet
     return fleet
 
 
-def of(fleet, name):
-    return fleet.ledgers[name].machine.kept
+def state_at(fleet, name):
+    """Return the maintenance state at one gateway."""
+    return fleet.logs[name].machine.kept
 
 
-@pytest.mark.parametrize("kind, broken", [(Books, False), (Deaf, True)])
-def test_a_leader_that_was_cut_off_can_start_nothing(kind, broken):
-    """It holds leave that was given; the others form a new view, and an operator says that nothing is out."""
-    fleet = all_hear(settled(NAMES, TERMS, ViewAgreement, kind).successor(("offers", "a", "x")))
-    assert set(of(fleet, "a").out) == {"x"}
+@pytest.mark.parametrize("kind, broken", [(MaintenanceFleet, False), (UnconfirmedLeader, True)])
+def test_leader_that_was_cut_off_takes_nothing_out_of_service(kind, broken):
+    """Guards against two machines out at once by orders of two leaders.
+
+    The leader that is cut off has permitted x to go out. The others agree on a new view in which x is no longer out,
+    and permit y.
+    """
+    fleet = deliver_all(form_log_fleet(NAMES, TERMS, ViewAgreement, kind).successor(("offers", "a", "x")))
+    assert set(state_at(fleet, "a").out) == {"x"}
     cut = {"a", "b"}, {"a", "c"}
     a, b, c = (fleet.alive[name].me for name in NAMES)
-    fleet = all_hear(fleet.successor(("proposes", "b", (b, c))), *cut)
-    for _ in range(4):  # grants of before run out, b and c are a view of their own
+    fleet = deliver_all(fleet.successor(("proposes", "b", (b, c))), *cut)
+    for _ in range(4):  # the lease grants to a expire, and b and c adopt a view without it
         fleet = fleet.successor(("tick",))
         for name in ("b", "c"):
-            fleet = all_hear(fleet.successor(("renews", name)), *cut)
-    fleet = all_hear(fleet.successor(("leads", "b")), *cut)
-    assert fleet.ledgers["b"].leads and set(of(fleet, "b").out) == {"x"}
-    # What stands in for an operator's word after a loss, or for x seen back by b alone: x is no longer out.
-    book = fleet._own("b")
-    book.machine.kept.out.clear()
-    fleet._say("b", book.append_entry(0, encode_entry(Leave("y", 1, "test", "b")))[1])
-    fleet = all_hear(fleet, *cut)
+            fleet = deliver_all(fleet.successor(("renews", name)), *cut)
+    fleet = deliver_all(fleet.successor(("leads", "b")), *cut)
+    assert fleet.logs["b"].leads and set(state_at(fleet, "b").out) == {"x"}
+    # Stands in for an operator's statement after a loss, or for b having seen x back: x is no longer out.
+    log = fleet._writable_log("b")
+    log.machine.kept.out.clear()
+    fleet._send("b", log.append_entry(0, encode_entry(Leave("y", 1, "test", "b")))[1])
+    fleet = deliver_all(fleet, *cut)
     ordered = fleet.successor(("orders", "b", "y"))
     fleet = ordered.successor(("gets", next(iter(ordered.orders))))
-    assert fleet.subjects["y"].out
+    assert fleet.machines["y"].out
     late = fleet.successor(("orders", "a", "x"))
     if late is not None:
         fleet = late.successor(("gets", list(late.orders)[-1])) or late
-    assert fleet.violation.startswith("more out") is broken
+    assert fleet.violation.startswith("more out of service") is broken
 
 
 def test_restarted_voter_is_not_counted_as_its_former_incarnation():
-    fleet = settled(NAMES, TERMS, ViewAgreement).successor(("restarts", "b"))
-    fleet = all_hear(fleet.successor(("offers", "a", "x")), {"a", "c"})
-    assert of(fleet, "a").out == {}  # b's new incarnation accepted the entry, but is no voter of the view
-    fleet = all_hear(fleet)
-    assert set(of(fleet, "a").out) == {"x"}
+    fleet = form_log_fleet(NAMES, TERMS, ViewAgreement).successor(("restarts", "b"))
+    fleet = deliver_all(fleet.successor(("offers", "a", "x")), {"a", "c"})
+    assert state_at(fleet, "a").out == {}  # b's new incarnation accepted the entry, but is no voter of the view
+    fleet = deliver_all(fleet)
+    assert set(state_at(fleet, "a").out) == {"x"}
 
 
-def test_an_answer_that_comes_too_late_starts_nothing():
-    fleet = all_hear(settled(NAMES, TERMS, ViewAgreement).successor(("offers", "a", "x"))).successor(
+def test_late_order_is_not_obeyed():
+    fleet = deliver_all(form_log_fleet(NAMES, TERMS, ViewAgreement).successor(("offers", "a", "x"))).successor(
         ("orders", "a", "x")
     )
     order = next(iter(fleet.orders))
-    assert not fleet.successor(("tick",)).successor(("gets", order)).subjects["x"].out
-    assert fleet.successor(("gets", order)).subjects["x"].out
-    assert not fleet._obeys(replace(fleet.subjects["x"], boot=2), order)
+    assert not fleet.successor(("tick",)).successor(("gets", order)).machines["x"].out
+    assert fleet.successor(("gets", order)).machines["x"].out
+    assert not fleet._accepts(replace(fleet.machines["x"], boot=2), order)
 
 
 def test_log_recovers_from_lost_electors_only_by_an_operator_and_marks_the_state_as_lost():
