--- a/tests/maintenance/test_between.py
+++ b/tests/maintenance/test_between.py
@@ -1,4 +1,4 @@
-"""Leave between processes of the program: an operator's commands on running gateways, a canary that crashes."""
+"""Maintenance between processes of the program: a canary that crashes, and operator commands that are refused."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from tansykeel.rehearse.play import day_of, play
 
 
-def test_a_canary_that_crashes_is_halted_and_goes_back_and_nothing_else_went_out(tmp_path):
+def test_canary_that_crashes_is_halted_and_rolled_back_and_nothing_else_went_out(tmp_path):
     verdict = play(day_of("badcanary", 48, {"at": 1.0, "back_s": 3.0}), 1, tmp_path / "day")
     assert not any(verdict.rules.values()) and {"room", "orders"} <= set(verdict.rules)
     assert verdict.release["state"] == "given up" and verdict.release["went"] == ["edge-0"]
 
 
-def tansykeel(*words):
-    return subprocess.run([sys.executable, "-m", "tansykeel", *words], capture_output=True, text=True, timeout=30)
+def run_command(*arguments):
+    return subprocess.run([sys.executable, "-m", "tansykeel", *arguments], capture_output=True, text=True, timeout=30)
 
 
-def test_an_operator_who_asks_a_gateway_that_gives_no_leave_is_told_so(tmp_path):
+def test_operator_commands_fail_on_a_gateway_without_accord(tmp_path):
     port = free_ports(1)[0]
     script = tmp_path / "one.star"
     script.write_text(
@@ -36,10 +36,10 @@
     )
     try:
         assert json.loads(edge.stdout.readline())["event"] == "ready"
-        told = tansykeel("accord", "status", f"127.0.0.1:{port}")
-        assert told.returncode == 3 and "settings have accord(...)" in told.stderr
-        told = tansykeel("fleet", "without", f"127.0.0.1:{port}", "edge-1", "--yes")
-        assert told.returncode == 3 and "agrees with no others" in told.stderr
+        result = run_command("accord", "status", f"127.0.0.1:{port}")
+        assert result.returncode == 3 and "settings have accord(...)" in result.stderr
+        result = run_command("fleet", "without", f"127.0.0.1:{port}", "edge-1", "--yes")
+        assert result.returncode == 3 and "agrees with no others" in result.stderr
     finally:
         edge.stdin.close()
         edge.wait(20)
