--- a/tansykeel/maintenance/controller.py
+++ b/tansykeel/maintenance/controller.py
@@ -17,8 +17,7 @@
 from tansykeel.maintenance.rollouts import GOING, GOING_BACK, SETTLING, WAITING, Release
 from tansykeel.maintenance.state import State
 
-MAX_ENTRIES = 8  # offered at a time
-MAX_PLACES = 64  # places that one entry adds, and that it removes
+MAX_ENTRIES, MAX_PLACES = 8, 64  # entries offered at a time; places that one entry adds, and that it removes
 
 
 class Ask(Struct, frozen=True, array_like=True):
@@ -68,10 +67,10 @@
     def __init__(self, state: State, pace: Pace, terms: Terms, classes: int) -> None:
         self.state, self.pace, self.terms, self.classes = state, pace, terms, classes
         self.requests: dict[str, tuple[Ask, int]] = {}  # by agent: the latest request and when it came
-        self.first_seen: dict[int, int] = {}  # by number of the entry by which one is out: when it was first seen here
+        self.first_seen: dict[int, int] = {}  # by number of an `Out`: when it was first seen here
         # By release number and wave: when all of the wave were first seen back.
         self.settling_since: dict[tuple[int, int], int] = {}
-        self.comparison: tuple[str, Comparison] | None = None  # by release name; evidence adds up over its waves
+        self.comparison: tuple[str, Comparison] | None = None  # name of a release and its evidence over all waves
         self.last_compared = 0  # when both versions last had counts in the same class and zone
         self.leading_since = -1  # since when this gateway leads; -1 if it does not
 
--- a/tansykeel/maintenance/entries.py
+++ b/tansykeel/maintenance/entries.py
@@ -88,7 +88,7 @@
 
 
 class Lost(Entry, frozen=True, array_like=True, tag=True):
-    """The view was formed anew after a majority of voters was lost: entries committed before it may be missing."""
+    """Entries committed before this view may be missing: it was formed anew, or goes on without its electors."""
 
     view: int
 
--- a/tansykeel/maintenance/rollouts.py
+++ b/tansykeel/maintenance/rollouts.py
@@ -22,11 +22,7 @@
 # By action and present state: the next state. Everything else is refused.
 TRANSITIONS: dict[str, dict[str, str]] = {
     "begin": {PLANNED: WAITING},
-    "out": {
-        WAITING: GOING,
-        GOING: GOING,
-        GOING_BACK: GOING_BACK,
-    },  # one of its gateways or stores may go out of service
+    "out": {WAITING: GOING, GOING: GOING, GOING_BACK: GOING_BACK},  # a gateway or store may go out
     "wave": {GOING: SETTLING},  # all of the wave are back and ready
     "next": {SETTLING: WAITING},  # the comparison found the new version no worse
     "end": {SETTLING: DONE, GOING_BACK: GIVEN_UP},  # after the last wave; after a complete rollback
--- a/tansykeel/maintenance/state.py
+++ b/tansykeel/maintenance/state.py
@@ -69,7 +69,7 @@
     out: dict[str, Out] = {}
     releases: dict[str, Release] = {}
     refused: list[Refused] = []
-    guess: int = 0  # the latest view that lost the state
+    guess: int = 0  # the latest view that may have lost entries
 
 
 _snapshot_decoder = msgspec.msgpack.Decoder(Kept)
@@ -97,7 +97,7 @@
         self.kept = _snapshot_decoder.decode(data)
 
     def state_lost_entry(self, number: int) -> bytes:
-        """Return the entry that says that view `number`, formed anew, lost the state."""
+        """Return the entry that says that the state may be incomplete from view `number` on."""
         return encode_entry(Lost(number))
 
     def copy(self) -> State:
