--- a/tansykeel/edge/maintenance.py
+++ b/tansykeel/edge/maintenance.py
@@ -17,7 +17,7 @@
 from tansykeel.maintenance.canary_analysis import Seen
 from tansykeel.maintenance.controller import Ask, Controller
 from tansykeel.maintenance.disruption_budget import Place
-from tansykeel.maintenance.entries import Recover, packed
+from tansykeel.maintenance.entries import Recover, encode_entry
 from tansykeel.maintenance.messages import (
     Elsewhere,
     Figures,
@@ -84,14 +84,14 @@
             self.log.info(
                 "ledger", leads=self.led, view=self.cluster_member.agreement.number, entries=replicated_log.last_index
             )
-        self.controller.leads(now, replicated_log.leads)
+        self.controller.set_leading(now, replicated_log.leads)
         if now // FIGURES_INTERVAL != self.interval:
             self.interval = now // FIGURES_INTERVAL
             self._finish_interval()
         if replicated_log.leads:
             gone, alive = self._health()
-            for entry in self.controller.wants(now, self._places(), self.bounds, gone, alive):
-                self.send_to_cluster(self.cluster_member.offer(now, packed(entry))[1])
+            for entry in self.controller.entries_to_offer(now, self._places(), self.bounds, gone, alive):
+                self.send_to_cluster(self.cluster_member.offer(now, encode_entry(entry))[1])
         for name, (since, reply) in list(self.pending.items()):
             self._answer(now, name, since, reply)
 
@@ -109,25 +109,25 @@
             case _ if not replicated_log.leads:
                 reply(Elsewhere(replicated_log.leader, self.addresses.get(replicated_log.leader, "")))
             case Ask():
-                self.controller.asked(now, message)
+                self.controller.record_request(now, message)
                 self.pending[message.name] = now, reply
                 self._answer(now, message.name, now, reply)
             case StatusAsk():
-                release = self.state.under_way()
-                steps = release.steps()[:1] if release else []
+                release = self.state.active_release()
+                steps = release.next_targets()[:1] if release else []
                 reply(
                     Status(
                         self.cluster_member.me.name,
                         self.cluster_member.agreement.number,
                         replicated_log.last_index,
                         self.state.kept,
-                        tuple(self.state.against(steps[0])) if steps else (),
+                        tuple(self.state.denial_reasons(steps[0])) if steps else (),
                     )
                 )
             case Offered(entry):
-                if isinstance(entry, Recover) and self.controller.recover(now, entry.out, entry.by) is None:
+                if isinstance(entry, Recover) and self.controller.recovery_entry(now, entry.out, entry.by) is None:
                     return reply(Taken(False, "orders of before may still be obeyed; legal: a few seconds later"))
-                added, sent = self.cluster_member.offer(now, packed(entry))
+                added, sent = self.cluster_member.offer(now, encode_entry(entry))
                 self.send_to_cluster(sent)
                 reply(Taken(added))
 
@@ -142,12 +142,12 @@
         replicated_log = self.cluster_member.replicated_log
         assert replicated_log is not None
         out = self.state.kept.out.get(name)
-        if (order := self.controller.answer(now, name, replicated_log.leader_confirmed_at(now))) is not None:
+        if (order := self.controller.order_for(now, name, replicated_log.leader_confirmed_at(now))) is not None:
             reply(order)
         elif out is not None and replicated_log.leads and now - since < self.controller.pace.patience:
             return  # until a majority has confirmed that this gateway leads, or the agent has waited too long
         else:
-            reply(Wait(tuple(self.state.against(name))))
+            reply(Wait(tuple(self.state.denial_reasons(name))))
         self.pending.pop(name, None)
 
     def _places(self) -> dict[str, Place]:
@@ -201,7 +201,7 @@
 
     def _compare(self, by_gateway: dict[str, dict[str, Seen]]) -> None:
         """Give the controller the counts of one interval: of gateways with the new version, and of the others."""
-        release = self.state.under_way()
+        release = self.state.active_release()
         if release is None:
             return
         newer = {name for name in release.went if name not in release.returned}
@@ -215,4 +215,4 @@
                 side[category, zone] = Seen(
                     sum_so_far.tasks + counts.tasks, sum_so_far.served + min(counts.served, counts.tasks)
                 )
-        self.controller.figures(clock(), *sides)
+        self.controller.add_task_counts(clock(), *sides)
--- a/tansykeel/emulator/rollout_simulation.py
+++ b/tansykeel/emulator/rollout_simulation.py
@@ -15,10 +15,10 @@
 from tansykeel.cluster.view_agreement import LeaseTerms as Leases
 from tansykeel.emulator.engine import START, Engine, NoEnd
 from tansykeel.emulator.machines import Machine, Result, Trial
-from tansykeel.maintenance.canary_analysis import SURE, Seen, Terms, apart
-from tansykeel.maintenance.controller import Ask, Controller, Order, Pace, plan_of
-from tansykeel.maintenance.disruption_budget import Place, hindrances, most
-from tansykeel.maintenance.entries import Move, packed
+from tansykeel.maintenance.canary_analysis import HARM_EVIDENCE_FACTOR, Seen, Terms, relative_entropy
+from tansykeel.maintenance.controller import Ask, Controller, Order, Pace, make_plan
+from tansykeel.maintenance.disruption_budget import Place, max_unavailable, violated_bounds
+from tansykeel.maintenance.entries import Move, encode_entry
 from tansykeel.maintenance.rollouts import DONE, GIVEN_UP, HALTED
 from tansykeel.maintenance.state import State
 
@@ -89,7 +89,7 @@
             first = self.places[wave[0]]
             alike = [place for place in self.places.values() if place.kind == first.kind]
             near = [place for place in alike if place.zone == first.zone]
-            wide = min(most(trial.bounds.share, len(alike)), most(trial.bounds.zone, len(near)))
+            wide = min(max_unavailable(trial.bounds.share, len(alike)), max_unavailable(trial.bounds.zone, len(near)))
             steps += ceil(len(wave) / wide)
         step = trial.restart_s + (trial.warm_s if trial.release == "stores" else self.joins_s())
         watched = trial.settles_s * (len(self.waves()) - 1) + max(trial.settles_s, self.finds_s())
@@ -103,7 +103,11 @@
         terms, old = Terms(), self.trial.gateways / self.trial.zones - 1
         new, rate = self.trial.tasks_s / len(CLASSES), RATE - terms.harm
         between = (rate + old * RATE) / (1 + old)
-        return SURE * log(len(CLASSES) / terms.alpha) / (new * (apart(rate, between) + old * apart(RATE, between)))
+        return (
+            HARM_EVIDENCE_FACTOR
+            * log(len(CLASSES) / terms.alpha)
+            / (new * (relative_entropy(rate, between) + old * relative_entropy(RATE, between)))
+        )
 
     def joins_s(self) -> float:
         """Until a gateway that started holds its lease: steady for two pings, a view, and one lease."""
@@ -182,7 +186,7 @@
             return
         cluster_member, controller = self.cluster_members[name], self.controllers[name]
         assert cluster_member.replicated_log is not None
-        controller.leads(self.now(), cluster_member.replicated_log.leads)
+        controller.set_leading(self.now(), cluster_member.replicated_log.leads)
         others = cluster_member.failure_detector.others
         gone = {other.name: "died" for other in others.values() if other.state is MemberState.DEAD}
         alive = [other.name for other in others.values() if other.state is MemberState.ALIVE and other.incarnation] + [
@@ -197,20 +201,25 @@
             and self.engine.now - self.machines[one].dead_since > 10**6
         }
         alive += [one for one in stores if self._whole(one)]
-        for entry in controller.wants(self.now(), self.places, self.trial.bounds, gone, alive):
-            self._offer(name, packed(entry))
+        for entry in controller.entries_to_offer(self.now(), self.places, self.trial.bounds, gone, alive):
+            self._offer(name, encode_entry(entry))
         kept = controller.state.kept
-        if controller.led >= 0 and not kept.known:
+        if controller.leading_since >= 0 and not kept.known:
             out = [(one, "seen") for one, at in self.machines.items() if not at.up or not self._whole(one)]
-            if (word := controller.recover(self.now(), out, "operator")) is not None:
-                self._offer(name, packed(word))
-        if controller.led >= 0 and kept.known and "r1" not in kept.releases and len(kept.places) == len(self.places):
+            if (word := controller.recovery_entry(self.now(), out, "operator")) is not None:
+                self._offer(name, encode_entry(word))
+        if (
+            controller.leading_since >= 0
+            and kept.known
+            and "r1" not in kept.releases
+            and len(kept.places) == len(self.places)
+        ):
             self.began = self.began or self.seconds()
-            self._offer(name, packed(plan_of("r1", "new", "old", self.waves(), "operator")))
+            self._offer(name, encode_entry(make_plan("r1", "new", "old", self.waves(), "operator")))
         release = kept.releases.get("r1")
-        if controller.led >= 0 and release and release.state == HALTED:
+        if controller.leading_since >= 0 and release and release.state == HALTED:
             what = "back" if "worse" in release.why or "not back" in release.why else "resume"
-            self._offer(name, packed(Move("r1", what, release.why, "operator")))
+            self._offer(name, encode_entry(Move("r1", what, release.why, "operator")))
         if release and release.state in (DONE, GIVEN_UP) and not self.took:
             self.took = self.seconds()
 
@@ -241,7 +250,7 @@
             if cluster_member.replicated_log.leader and self._passes(gateway, ask.name):
                 self.machines[ask.name].target = cluster_member.replicated_log.leader
             return
-        controller.asked(self.now(), ask)
+        controller.record_request(self.now(), ask)
         self.machines[ask.name].target = gateway
         self._answer(gateway, ask.name, at, 0)
 
@@ -249,7 +258,7 @@
         cluster_member, controller = self.cluster_members[gateway], self.controllers[gateway]
         if not self.machines[gateway].up or cluster_member.replicated_log is None:
             return
-        order = controller.answer(self.now(), name, cluster_member.replicated_log.leader_confirmed_at(self.now()))
+        order = controller.order_for(self.now(), name, cluster_member.replicated_log.leader_confirmed_at(self.now()))
         if order is not None and self._passes(gateway, name):
             self.engine.after(self._way(), self._ordered, order, at)
         elif order is None and tries < 5 and name in controller.state.kept.out:
@@ -310,7 +319,7 @@
             if machine.by_leave and not (machine.up and self._whole(other)) or long_dead and not machine.up:
                 out.add(other)
         self.most_out = max(self.most_out, len(out) + 1)
-        against = hindrances(self.places[name], self.places, out, self.trial.bounds, 0.0)
+        against = violated_bounds(self.places[name], self.places, out, self.trial.bounds, 0.0)
         if against:
             self.broken.append(f"{self.seconds():.1f} s: {name} goes out though {'; '.join(against)}")
 
@@ -374,8 +383,8 @@
                 seen[0] += tasks
                 seen[1] += served
         for name, controller in self.controllers.items():
-            if self.machines[name].up and controller.led >= 0:
-                controller.figures(
+            if self.machines[name].up and controller.leading_since >= 0:
+                controller.add_task_counts(
                     self.now(),
                     {key: Seen(*seen) for key, seen in new.items()},
                     {key: Seen(*seen) for key, seen in old.items()},
