--- a/tansykeel/control_plane/gateway_connections.py
+++ b/tansykeel/control_plane/gateway_connections.py
@@ -1,4 +1,4 @@
-"""The connections of gateways to a control node, by the numbers under which the core knows them."""
+"""Maps connections from gateways to the connection numbers that the core uses in events and actions."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tansykeel.protocol.frames import Error, Fields
 from tansykeel.transport.link import Link
 
-MOST_REASON = 500  # characters of a reason that go into one ERROR frame
+MAX_REASON_LENGTH = 500  # characters; a longer reason is cut off in the ERROR frame
 
 
 class GatewayConnections:
-    """Gives each connection a number, which is never used twice, and sends what the core wants sent on it."""
+    """The open connections from gateways. Each gets a number that is never reused."""
 
     def __init__(self) -> None:
         self._numbers = count(1)
@@ -20,35 +20,36 @@
         self._ids: dict[Link, ConnectionId] = {}
 
     def __len__(self) -> int:
+        """Return the number of open connections from gateways."""
         return len(self._links)
 
-    def opened(self, link: Link) -> None:
-        """Take a connection in whose hello came from a gateway."""
+    def add(self, link: Link) -> None:
+        """Assign a number to a connection after its HELLO has identified the peer as a gateway."""
         connection = next(self._numbers)
         self._links[connection] = link
         self._ids[link] = connection
 
     def id_of(self, link: Link) -> ConnectionId | None:
-        """Return the connection's number; None where it was closed, or is of no gateway."""
+        """Return the connection's number; None if it is closed or does not come from a gateway."""
         return self._ids.get(link)
 
-    def lost(self, link: Link) -> ConnectionId | None:
-        """Forget a connection that ended; its number, or None where it was closed here before."""
+    def remove(self, link: Link) -> ConnectionId | None:
+        """Remove a lost connection and return its number; None if `close` has removed it before."""
         connection = self._ids.pop(link, None)
         if connection is not None:
             del self._links[connection]
         return connection
 
     def send(self, connection: ConnectionId, record: Fields) -> None:
-        """Send a record; nothing where the connection ended meanwhile."""
+        """Send a record, or drop it if the connection has ended meanwhile."""
         if (link := self._links.get(connection)) is not None:
             link.send(0, record)
 
     def close(self, connection: ConnectionId, reason: str) -> None:
-        """Close a connection once all that waits is sent, and last the reason as an ERROR."""
+        """Send the reason as an ERROR frame after all queued records, then close the connection."""
         link = self._links.pop(connection, None)
         if link is None:
             return
         del self._ids[link]
-        link.send(0, Error(reason[:MOST_REASON]))
+        link.send(0, Error(reason[:MAX_REASON_LENGTH]))
         link.close()
--- a/tansykeel/control_plane/program.py
+++ b/tansykeel/control_plane/program.py
@@ -151,7 +151,7 @@
 
     def _take_hello(self, link: Link, hello: Hello) -> None:
         if hello.role == "gateway":
-            self.gateways.opened(link)
+            self.gateways.add(link)
         elif hello.role == "control":
             self.nodes.accept(link, hello)
 
@@ -193,7 +193,7 @@
 
     def _lost(self, link: Link, why: str) -> None:
         self.last_received.pop(link, None)
-        if (connection := self.gateways.lost(link)) is not None:
+        if (connection := self.gateways.remove(link)) is not None:
             self.agent.connection_lost(connection)
 
     def _broken(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
