--- a/tansykeel/control_plane/program.py
+++ b/tansykeel/control_plane/program.py
@@ -161,13 +161,13 @@
             return
         match record:
             case SessionOpen() | Heartbeat() | SessionClose():
-                self.agent.gateway_message(connection, incarnation, record)
+                self.agent.handle_gateway_record(connection, incarnation, record)
             case Goodbye():
                 link.close()
 
     def _from_node(self, link: Link, record: Fields) -> None:
         if (received := self.nodes.received(link, record)) is not None:
-            self.agent.node_message(*received)
+            self.agent.handle_node_message(*received)
 
     def _from_operator(self, link: Link, stream: int, record: Fields) -> None:
         match record:
@@ -194,7 +194,7 @@
     def _lost(self, link: Link, why: str) -> None:
         self.last_received.pop(link, None)
         if (connection := self.gateways.remove(link)) is not None:
-            self.agent.connection_lost(connection)
+            self.agent.handle_connection_lost(connection)
 
     def _broken(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """The program's own code failed: end, so that a supervisor starts a new one; gateways move meanwhile."""
@@ -204,11 +204,11 @@
 
     async def _say_goodbye(self) -> None:
         if self.failed:  # a core that failed is not asked for anything more
-            self.agent.end()
+            self.agent.stop()
         else:
             self.agent.leave()
         await asyncio.sleep(LINGER_SECONDS)
-        self.agent.end()
+        self.agent.stop()
         self.peers.close()
         for link in list(self.hub.links):
             link.close()
