--- a/tansykeel/control_plane/node_connections.py
+++ b/tansykeel/control_plane/node_connections.py
@@ -1,4 +1,7 @@
-"""What other control nodes of the region say, checked before the core takes it: who they are and of which cluster."""
+"""Checks records from other control nodes before they reach the core.
+
+A peer must have a configured name and must belong to the same cluster and region.
+"""
 
 from __future__ import annotations
 
@@ -11,39 +14,43 @@
 from tansykeel.protocol.frames import Error, Fields, Goodbye, Hello, NodeOpen, ProtocolError, Watch
 from tansykeel.transport.link import Link
 
-Received = tuple[Member, ClusterMessage]
+ReceivedMessage = tuple[Member, ClusterMessage]
 
 
 class NodeConnections:
-    """Takes records of other control nodes in, on connections that either end opened."""
+    """Handles records from other control nodes, on connections that either side opened."""
 
     def __init__(self, members: ClusterConnections, own: NodeOpen, log: Any) -> None:
         self.members, self.own, self.log = members, own, log
-        self._opened: WeakSet[Link] = WeakSet()  # connections whose other end is of the same cluster and region
-        self._last_error: dict[str, str] = {}  # by node: guards the log against a line for each new connection
+        self._verified: WeakSet[Link] = WeakSet()  # connections to peers of the same cluster and region
+        self._last_error: dict[str, str] = {}  # by node; avoids the same log line for each reconnection
 
     def accept(self, link: Link, hello: Hello) -> None:
-        """Take in a connection that another control node opened. Raises ProtocolError for one that is no other."""
+        """Accept a connection that another control node opened.
+
+        Raises ProtocolError if the settings have no other control node of this name in the region.
+        """
         peers = self.members.peers
         if hello.name not in peers.by_name:
             raise ProtocolError(
-                f"HELLO: control node {hello.name!r} is no other one of region {self.own.region!r} here; "
-                f"legal: {', '.join(peers.by_name) or 'none'}"
+                f"HELLO: {hello.name!r} is not the name of another control node in region {self.own.region!r}; "
+                f"expected one of: {', '.join(peers.by_name) or 'none'}"
             )
         peers.accept(link, hello)
 
-    def received(self, link: Link, record: Fields) -> Received | None:
-        """Return the message that a record carries and who sent it, None for one that carries none.
+    def handle_record(self, link: Link, record: Fields) -> ReceivedMessage | None:
+        """Handle a record; if it carries a cluster message, return the sender and the message, otherwise None.
 
-        Raises ProtocolError for what a control node must not say.
+        Raises ProtocolError for a record that is not allowed between control nodes, and for a NODE_OPEN of another
+        cluster or region.
         """
         match record:
             case NodeOpen():
-                self._check(record)
-                self._opened.add(link)
+                self._check_membership(record)
+                self._verified.add(link)
             case Watch():
-                if link not in self._opened:
-                    raise ProtocolError("WATCH before NODE_OPEN: legal: a control node's cluster and region first")
+                if link not in self._verified:
+                    raise ProtocolError("WATCH before NODE_OPEN; a control node must send NODE_OPEN first")
                 assert link.peer is not None
                 return self.members.received(link.peer, record)
             case Goodbye():
@@ -51,18 +58,20 @@
             case Error(text):
                 self._log_error(link, text)
             case _:
-                raise ProtocolError(f"{type(record).__name__}: not legal between control nodes")
+                raise ProtocolError(f"{type(record).__name__}: not allowed between control nodes")
         return None
 
-    # Within
+    # Implementation
 
-    def _check(self, other: NodeOpen) -> None:
+    def _check_membership(self, other: NodeOpen) -> None:
         for field, theirs, ours in (
             ("cluster", other.cluster, self.own.cluster),
             ("region", other.region, self.own.region),
         ):
             if theirs != ours:
-                raise ProtocolError(f"NODE_OPEN: {field} {theirs!r}; legal: {ours!r}: settings or addresses differ")
+                raise ProtocolError(
+                    f"NODE_OPEN: {field} is {theirs!r}, expected {ours!r}; compare settings and addresses"
+                )
 
     def _log_error(self, link: Link, text: str) -> None:
         name = link.peer.name if link.peer else "unknown"
--- a/tansykeel/control_plane/program.py
+++ b/tansykeel/control_plane/program.py
@@ -166,7 +166,7 @@
                 link.close()
 
     def _from_node(self, link: Link, record: Fields) -> None:
-        if (received := self.nodes.received(link, record)) is not None:
+        if (received := self.nodes.handle_record(link, record)) is not None:
             self.agent.handle_node_message(*received)
 
     def _from_operator(self, link: Link, stream: int, record: Fields) -> None:
--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -66,7 +66,12 @@
         ("gateway", "edge-1", TASK, "TASK on stream 0: not legal from a peer of role 'gateway'"),
         ("gateway", "edge-1", TOO_LONG, "HEARTBEAT on stream 0: 65537 bytes; legal: 65536 at most"),
         ("client", "shell", TASK, "TaskOf: a control node has no tasks"),
-        ("control", "n9", NodeOpen("farm", "north"), "control node 'n9' is no other one of region 'north'"),
+        (
+            "control",
+            "n9",
+            NodeOpen("farm", "north"),
+            "HELLO: 'n9' is not the name of another control node in region 'north'",
+        ),
         ("store", "s", None, "role 'store'; expected: gateway or control or client"),
     ],
 )
@@ -92,8 +97,8 @@
 @pytest.mark.parametrize(
     "sent, says",
     [
-        ([NodeOpen("other", "north")], "NODE_OPEN: cluster 'other'; legal: 'farm'"),
-        ([NodeOpen("farm", "south")], "NODE_OPEN: region 'south'; legal: 'north'"),
+        ([NodeOpen("other", "north")], "NODE_OPEN: cluster is 'other', expected 'farm'"),
+        ([NodeOpen("farm", "south")], "NODE_OPEN: region is 'south', expected 'north'"),
         ([PING], "WATCH before NODE_OPEN"),
         ([NodeOpen("farm", "north"), Watch("Rumour", b"")], "WATCH: message 'Rumour'; legal: "),
     ],
