--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -65,7 +65,7 @@
         ("gateway", "edge-1", SessionClose(5), "a close of session 5, which this connection has not"),
         ("gateway", "edge-1", TASK, "TASK on stream 0: not legal from a peer of role 'gateway'"),
         ("gateway", "edge-1", TOO_LONG, "HEARTBEAT on stream 0: 65537 bytes; legal: 65536 at most"),
-        ("client", "shell", TASK, "TaskOf: a control node has no tasks"),
+        ("client", "shell", TASK, "TaskOf: a control node handles no tasks"),
         (
             "control",
             "n9",
@@ -141,19 +141,19 @@
     async def go():
         async with run_first_node(tmp_path) as (program, address):
             served = await lone_gateway(address)
-            program.most_connections = 2
+            program.max_connections = 2
             await Connection("gateway", "edge-1").connect(address)
             await wait_until(lambda: len(program.last_received) == 2)
             late = await Connection("gateway", "edge-2").connect(address)
-            assert "2 connections are open here already" in await late.error()
+            assert "limit of 2 connections reached" in await late.error()
             assert await served.renew()
 
     run_test(go())
 
 
 def test_a_connection_on_which_nothing_comes_is_closed_and_one_with_heartbeats_is_not(tmp_path, monkeypatch):
-    monkeypatch.setattr(control_program, "SILENT_SECONDS", 0.6)
-    monkeypatch.setattr(control_program, "SWEEP_SECONDS", 0.1)
+    monkeypatch.setattr(control_program, "IDLE_TIMEOUT_SECONDS", 0.6)
+    monkeypatch.setattr(control_program, "IDLE_CHECK_SECONDS", 0.1)
 
     async def go():
         async with run_first_node(tmp_path) as (_, address):
@@ -162,7 +162,7 @@
             while not silent.done():
                 assert await served.renew()
                 await asyncio.sleep(0.1)
-            assert "nothing came for 0.6 s" in await silent
+            assert "nothing received for 0.6 s" in await silent
             assert await served.renew()
 
     run_test(go())
