--- a/tansykeel/control_plane/__init__.py
+++ b/tansykeel/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The control node as a process: sockets, clock and log around the core of `tansykeel.control`."""
+"""The control node as a process: sockets, clock and log for the core in `tansykeel.control`."""
