--- a/tests/control_plane/test_control_program.py
+++ b/tests/control_plane/test_control_program.py
@@ -1,4 +1,4 @@
-"""A control node on sockets: what is wrong gets one clear error and its own end, and others are served on."""
+"""A control node on sockets: a protocol error closes its own connection with one error; all others are still served."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 PING = Watch(*CODEC.encode(Ping(1)))
 
 
-async def lone_gateway(address):
-    """A gateway with a session at a node that is alone in its region; it counts all units."""
+async def gateway_with_all_units(address):
+    """Return a gateway whose session is the only one of its region's only node, and whose lease has all units."""
     gateway = Gateway("edge-0", [address])
     while not isinstance(await gateway.open(address), SessionAccepted):
         await asyncio.sleep(0.1)
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    "role, name, sent, says",
+    "role, name, sent, expected",
     [
         ("gateway", "edge-9", SessionOpen("farm", "edge-9", "north"), "gateway 'edge-9': not among the gateways"),
         ("gateway", "edge-1", SessionOpen("other", "edge-1", "north"), "cluster 'other'; this control node is of"),
@@ -75,27 +75,27 @@
         ("store", "s", None, "role 'store'; expected: gateway or control or client"),
     ],
 )
-def test_what_is_wrong_gets_one_error_and_others_are_served(tmp_path, role, name, sent, says):
+def test_protocol_error_closes_only_its_connection_with_one_error(tmp_path, role, name, sent, expected):
     async def go():
         async with run_first_node(tmp_path) as (_, address):
-            served = await lone_gateway(address)
+            served = await gateway_with_all_units(address)
             wrong = await Connection(role, name).connect(address)
             if isinstance(sent, bytes):
-                await wait_until(lambda: not wrong.link.outgoing)  # the hello has left
+                await wait_until(lambda: not wrong.link.outgoing)  # the HELLO has been sent
                 wrong.link.sock.send(sent)
             elif sent is not None:
                 wrong.link.send(0, sent)
             if role == "gateway" and isinstance(sent, SessionOpen):
                 rejection = await wrong.next(SessionRejected)
-                assert says in rejection.reason and rejection.retry_after == 0
-            assert says in await wrong.error()
+                assert expected in rejection.reason and rejection.retry_after == 0
+            assert expected in await wrong.error()
             assert await served.renew() and served.counted() == REGION_UNITS
 
     run_test(go())
 
 
 @pytest.mark.parametrize(
-    "sent, says",
+    "sent, expected",
     [
         ([NodeOpen("other", "north")], "NODE_OPEN: cluster is 'other', expected 'farm'"),
         ([NodeOpen("farm", "south")], "NODE_OPEN: region is 'south', expected 'north'"),
@@ -103,44 +103,44 @@
         ([NodeOpen("farm", "north"), Watch("Rumour", b"")], "WATCH: message 'Rumour'; legal: "),
     ],
 )
-def test_a_control_node_that_is_none_of_the_cluster_is_rejected(tmp_path, sent, says):
+def test_control_node_of_another_cluster_or_region_is_rejected(tmp_path, sent, expected):
     async def go():
         async with run_first_node(tmp_path, nodes=3) as (program, address):
             wrong = await Connection("control", "n1").connect(address)
             for record in sent:
                 wrong.link.send(0, record)
-            assert says in await wrong.error()
+            assert expected in await wrong.error()
             others = program.agent.node.member.failure_detector.others
-            assert others["n1"].incarnation == 0, "a message of it was taken"
+            assert others["n1"].incarnation == 0, "a message from the rejected node reached the core"
 
     run_test(go())
 
 
-def test_a_gateway_whose_connection_ends_holds_no_session_any_more(tmp_path):
+def test_session_ends_when_the_gateways_connection_is_lost(tmp_path):
     async def go():
         async with run_first_node(tmp_path) as (program, address):
-            served = await lone_gateway(address)
+            served = await gateway_with_all_units(address)
             assert program.agent.status().sessions == 1
-            served.connection.link.abort("the process is gone", reset=True)
+            served.connection.link.abort("connection reset", reset=True)
             await wait_until(lambda: program.agent.status().sessions == 0, 0.5)
 
     run_test(go())
 
 
-def test_a_node_that_ends_says_goodbye_first(tmp_path):
+def test_stopping_node_sends_goodbye_first(tmp_path):
     async def go():
         async with run_first_node(tmp_path) as (program, address):
-            served = await lone_gateway(address)
+            served = await gateway_with_all_units(address)
             program.stopping.set()
             assert isinstance(await served.connection.received.get(), Goodbye)
 
     run_test(go())
 
 
-def test_connections_over_the_bound_are_told_so_and_those_there_are_served(tmp_path):
+def test_connections_over_the_limit_are_rejected_and_open_ones_are_still_served(tmp_path):
     async def go():
         async with run_first_node(tmp_path) as (program, address):
-            served = await lone_gateway(address)
+            served = await gateway_with_all_units(address)
             program.max_connections = 2
             await Connection("gateway", "edge-1").connect(address)
             await wait_until(lambda: len(program.last_received) == 2)
@@ -151,13 +151,13 @@
     run_test(go())
 
 
-def test_a_connection_on_which_nothing_comes_is_closed_and_one_with_heartbeats_is_not(tmp_path, monkeypatch):
+def test_idle_connection_is_closed_and_one_with_heartbeats_is_not(tmp_path, monkeypatch):
     monkeypatch.setattr(control_program, "IDLE_TIMEOUT_SECONDS", 0.6)
     monkeypatch.setattr(control_program, "IDLE_CHECK_SECONDS", 0.1)
 
     async def go():
         async with run_first_node(tmp_path) as (_, address):
-            served = await lone_gateway(address)
+            served = await gateway_with_all_units(address)
             silent = asyncio.create_task((await Connection("gateway", "edge-1").connect(address)).error())
             while not silent.done():
                 assert await served.renew()
@@ -168,44 +168,44 @@
     run_test(go())
 
 
-def test_a_peer_that_reads_nothing_is_dropped_and_holds_little_memory(tmp_path):
+def test_peer_that_does_not_read_is_dropped_and_uses_little_memory(tmp_path):
     async def go():
         async with run_first_node(tmp_path) as (program, address):
-            served = await lone_gateway(address)
-            deaf = socket.create_connection(address_of(address))
-            deaf.setblocking(False)
-            frames = pack(0, Hello(1, "client", "deaf")) + 100_000 * pack(1, ControlStatusRequest())
-            sending = asyncio.create_task(asyncio.get_running_loop().sock_sendall(deaf, frames))
+            served = await gateway_with_all_units(address)
+            non_reader = socket.create_connection(address_of(address))
+            non_reader.setblocking(False)
+            frames = pack(0, Hello(1, "client", "non_reader")) + 100_000 * pack(1, ControlStatusRequest())
+            sending = asyncio.create_task(asyncio.get_running_loop().sock_sendall(non_reader, frames))
             await wait_until(lambda: len(program.last_received) == 2)
-            most_waiting = 0
-            while len(program.last_received) == 2:  # until it is dropped for taking nothing
+            most_queued = 0
+            while len(program.last_received) == 2:  # until the connection is dropped because the peer does not read
                 assert await served.renew()
-                most_waiting = max(most_waiting, *(link.outgoing.held for link in program.last_received))
+                most_queued = max(most_queued, *(link.outgoing.held for link in program.last_received))
                 await asyncio.sleep(0.02)
-            assert 0 < most_waiting < 1 << 20
+            assert 0 < most_queued < 1 << 20
             sending.cancel()
-            deaf.close()
+            non_reader.close()
 
     run_test(go())
 
 
-def test_a_view_is_formed_without_names_that_an_operator_says_never_come(tmp_path):
+def test_view_is_formed_without_members_that_an_operator_declares_gone(tmp_path):
     async def go():
         async with run_first_node(tmp_path, nodes=3) as (_, address):
             assert (await query_fleet(address, 5)).number == 0
             with pytest.raises(NotTold, match="'n7' is no other member in the settings"):
                 await declare_gone(address, ("n7",), 5)
             await declare_gone(address, ("n1", "n2"), 5)
-            while not (told := await query_fleet(address, 5)).leased:
+            while not (status := await query_fleet(address, 5)).leased:
                 await asyncio.sleep(0.1)
-            assert [name for name, _ in told.members] == ["n0"] and told.part == 0
+            assert [name for name, _ in status.members] == ["n0"] and status.part == 0
 
     run_test(go())
 
 
-def test_a_core_that_fails_ends_the_program_with_the_code_for_that(tmp_path, monkeypatch):
+def test_internal_error_ends_the_program_with_its_own_exit_code(tmp_path, monkeypatch):
     def fails(*_):
-        raise AssertionError("planted")
+        raise AssertionError("injected failure")
 
     async def go():
         path, _ = write_settings(tmp_path, 1)
@@ -216,35 +216,35 @@
     run_test(go())
 
 
-def test_control_status_shows_a_table_or_json_and_its_code_tells_of_the_lease(tmp_path):
-    def run(*words):
-        return asyncio.to_thread(CliRunner().invoke, app, ["control-status", *words])
+def test_control_status_prints_a_table_or_json_and_exits_with_0_if_the_node_has_a_lease(tmp_path):
+    def run(*options):
+        return asyncio.to_thread(CliRunner().invoke, app, ["control-status", *options])
 
     async def go():
         async with run_first_node(tmp_path) as (_, address):
-            await lone_gateway(address)
+            await gateway_with_all_units(address)
             table = await run(address)
             assert table.exit_code == 0 and "n0 of region north, cluster farm: view" in table.output
             assert "1 sessions (1 admitted" in table.output and "0.7000" in table.output
-            told = json.loads((await run(address, "--json")).output)
-            assert (told["node"], told["sessions"], told["nodes"][0]["units"]) == ("n0", 1, REGION_UNITS)
-        gone = await run(address)
-        assert gone.exit_code == 3 and "look whether it runs" in gone.output
+            status = json.loads((await run(address, "--json")).output)
+            assert (status["node"], status["sessions"], status["nodes"][0]["units"]) == ("n0", 1, REGION_UNITS)
+        unreachable = await run(address)
+        assert unreachable.exit_code == 3 and "look whether it runs" in unreachable.output
 
     run_test(go())
 
 
-def test_a_node_without_a_lease_is_told_by_the_exit_code(tmp_path):
+def test_control_status_of_a_node_without_a_lease_exits_with_1(tmp_path):
     async def go():
         async with run_first_node(tmp_path, nodes=3) as (_, address):
-            told = await asyncio.to_thread(CliRunner().invoke, app, ["control-status", address])
-            assert told.exit_code == 1 and "no lease: it grants nothing" in told.output
+            result = await asyncio.to_thread(CliRunner().invoke, app, ["control-status", address])
+            assert result.exit_code == 1 and "no lease: it grants nothing" in result.output
 
     run_test(go())
 
 
 @pytest.mark.parametrize(
-    "change, words, says",
+    "change, options, expected",
     [
         (("share = 0.7", "share = 1.7"), [], "region('north').share: 1.7 is not legal"),
         (("", ""), ["--number", "3"], "number 3 is none; legal: 0 to 2"),
@@ -252,22 +252,22 @@
         (('region = "north"', 'region = "nord"'), [], "control_node('n0').region: 'nord' is none; legal: north"),
     ],
 )
-def test_a_node_starts_on_nothing_that_is_wrong(tmp_path, change, words, says):
+def test_node_does_not_start_with_wrong_settings_or_options(tmp_path, change, options, expected):
     path, _ = write_settings(tmp_path, 3)
     path.write_text(path.read_text().replace(*change) if change[0] else path.read_text())
-    told = CliRunner().invoke(app, ["control", str(path), "--number", "0", *words])
-    assert told.exit_code == 2 and says in told.output
+    result = CliRunner().invoke(app, ["control", str(path), "--number", "0", *options])
+    assert result.exit_code == 2 and expected in result.output
 
 
-def test_a_node_whose_address_is_taken_says_which(tmp_path):
+def test_node_whose_address_is_in_use_reports_the_address(tmp_path):
     path, (address,) = write_settings(tmp_path, 1)
     with socket.create_server(address_of(address)):
-        told = CliRunner().invoke(app, ["control", str(path), "--number", "0"])
-    assert told.exit_code == 2 and f"{address}: " in told.output and "in use" in told.output
+        result = CliRunner().invoke(app, ["control", str(path), "--number", "0"])
+    assert result.exit_code == 2 and f"{address}: " in result.output and "in use" in result.output
 
 
-def test_check_says_what_the_control_plane_of_the_example_holds(request):
+def test_check_summarises_the_control_plane_of_the_example(request):
     example = request.config.rootpath / "examples" / "control.star"
-    told = CliRunner().invoke(app, ["check", str(example)])
-    assert told.exit_code == 0
-    assert "control plane shop: 2 regions, 6 control nodes, 5 gateways" in told.output
+    result = CliRunner().invoke(app, ["check", str(example)])
+    assert result.exit_code == 0
+    assert "control plane shop: 2 regions, 6 control nodes, 5 gateways" in result.output
