--- a/tests/control_node_script.py
+++ b/tests/control_node_script.py
@@ -1,4 +1,4 @@
-"""Scripted control nodes on loopback: each answers as the test says, and notes what gateways sent."""
+"""Scripted control nodes on loopback: each gives the answers that the test sets, and records what gateways sent."""
 
 from __future__ import annotations
 
@@ -22,24 +22,25 @@
 from tansykeel.transport.sockets import accept_all, listening
 
 LEASE_MS = 1_500
-UNITS = WHOLE_UNITS // 100  # of each lease
+UNITS = WHOLE_UNITS // 100  # per lease
 HEARTBEAT_MS = 100
 
 
 class ScriptedNode:
-    """A control node that accepts sessions and grants `units`, or does as its fields say."""
+    """A control node that accepts sessions and grants leases of `units`; `rejects` and `silent` change its answers."""
 
     def __init__(self, name, address, units=UNITS, cluster="ours"):
         self.name, self.address, self.units, self.cluster = name, address, units, cluster
         self.role = "control"
-        self.rejects = None  # a SessionRejected in place of an acceptance
-        self.silent = False  # answers no heartbeat
+        self.rejects = None  # the SessionRejected to send instead of accepting a session, or None
+        self.silent = False  # if set, heartbeats are not answered
         self.sessions, self.leases = 0, 0
-        self.received = []  # (gateway, incarnation, record), without hellos
+        self.received = []  # (gateway, incarnation, record) of all records except HELLO
         self.links = set()
         self.started = False
 
     async def start(self):
+        """Listen on the node's address, and return the node."""
         self.hub = Hub(Limits())
         self.listener = listening(self.address)
         self.accepting = asyncio.create_task(accept_all(self.listener, self._accept))
@@ -47,7 +48,7 @@
         return self
 
     async def stop(self):
-        """End without a word, as a process that is killed."""
+        """Abort all connections without a GOODBYE, like a killed process."""
         if self.started:
             self.started = False
             self.accepting.cancel()
@@ -55,9 +56,11 @@
             self.listener.close()
 
     def of(self, kind):
+        """Return the received records of this type."""
         return [record for _, _, record in self.received if isinstance(record, kind)]
 
     def gateways(self):
+        """Return the names of the gateways that asked for a session."""
         return {name for name, _, record in self.received if isinstance(record, SessionOpen)}
 
     def _accept(self, sock):
@@ -83,11 +86,15 @@
                 link.send(0, LeaseRenewal(session, asked_at, self.leases, self.units, LEASE_MS * 1_000))
 
     def reject(self, reason, retry_after):
+        """Reject all sessions that gateways ask for from now on."""
         self.rejects = SessionRejected(self.cluster, self.name, reason, retry_after)
 
 
 def control_settings(addresses, gateways=20, extra="", lease_ms=LEASE_MS, heartbeat_ms=HEARTBEAT_MS):
-    """Settings of one region with control nodes n0, n1 ... at these addresses, and a store that is never there."""
+    """Return the text of settings with one region, control nodes n0, n1 ... at these addresses, and a store.
+
+    Unless `extra` defines stores, nothing listens at the address of the store.
+    """
     text = BASE.format(**DEFAULTS) + extra
     text += f'store("s0", address = "{free_address()}", shard = 0)\n' if "store(" not in extra else ""
     text += (
@@ -100,6 +107,7 @@
 
 
 def settings_of(text):
+    """Return the settings that a text in the settings language defines."""
     collected = Script()
     script.run_text(text, Path("test.star"), collected.verbs())
     return collected.settings("test.star")
