--- a/tansykeel/control_plane/program.py
+++ b/tansykeel/control_plane/program.py
@@ -134,7 +134,7 @@
     def _accept(self, sock: socket.socket) -> None:
         link = Link(self.hub, sock, Codec(*ROLES), self.hello, self._handle_event, self._connection_lost)
         if len(self.last_received) >= self.max_connections:
-            link.send(0, Error(f"limit of {self.max_connections} connections reached; try again later"))
+            link.send(0, Error(f"{self.max_connections} connections are already open; try again later"))
             link.close()
             return
         self.last_received[link] = asyncio.get_running_loop().time()
