--- a/tansykeel/control_plane/node_connections.py
+++ b/tansykeel/control_plane/node_connections.py
@@ -33,8 +33,8 @@
         peers = self.members.peers
         if hello.name not in peers.by_name:
             raise ProtocolError(
-                f"HELLO: {hello.name!r} is not the name of another control node in region {self.own.region!r}; "
-                f"expected one of: {', '.join(peers.by_name) or 'none'}"
+                f"HELLO: control node {hello.name!r} is no other one of region {self.own.region!r} here; "
+                f"legal: {', '.join(peers.by_name) or 'none'}"
             )
         peers.accept(link, hello)
 
@@ -50,7 +50,7 @@
                 self._verified.add(link)
             case Watch():
                 if link not in self._verified:
-                    raise ProtocolError("WATCH before NODE_OPEN; a control node must send NODE_OPEN first")
+                    raise ProtocolError("WATCH before NODE_OPEN: legal: a control node's cluster and region first")
                 assert link.peer is not None
                 return self.members.received(link.peer, record)
             case Goodbye():
@@ -58,7 +58,7 @@
             case Error(text):
                 self._log_error(link, text)
             case _:
-                raise ProtocolError(f"{type(record).__name__}: not allowed between control nodes")
+                raise ProtocolError(f"{type(record).__name__}: not legal between control nodes")
         return None
 
     # Implementation
@@ -69,9 +69,7 @@
             ("region", other.region, self.own.region),
         ):
             if theirs != ours:
-                raise ProtocolError(
-                    f"NODE_OPEN: {field} is {theirs!r}, expected {ours!r}; compare settings and addresses"
-                )
+                raise ProtocolError(f"NODE_OPEN: {field} {theirs!r}; legal: {ours!r}: settings or addresses differ")
 
     def _log_error(self, link: Link, text: str) -> None:
         name = link.peer.name if link.peer else "unknown"
--- a/tansykeel/control_plane/program.py
+++ b/tansykeel/control_plane/program.py
@@ -134,7 +134,7 @@
     def _accept(self, sock: socket.socket) -> None:
         link = Link(self.hub, sock, Codec(*ROLES), self.hello, self._handle_event, self._connection_lost)
         if len(self.last_received) >= self.max_connections:
-            link.send(0, Error(f"{self.max_connections} connections are already open; try again later"))
+            link.send(0, Error(f"{self.max_connections} connections are open here already; legal: come back later"))
             link.close()
             return
         self.last_received[link] = asyncio.get_running_loop().time()
@@ -188,7 +188,7 @@
                 link.close()
             case _:
                 kind = type(record).__name__
-                raise ProtocolError(f"{kind}: a control node handles no tasks and no maintenance; send it to a gateway")
+                raise ProtocolError(f"{kind}: a control node has no tasks and no maintenance; legal: ask a gateway")
 
     def _form_view_without(self, names: tuple[str, ...]) -> None:
         try:
@@ -229,5 +229,7 @@
             await asyncio.sleep(IDLE_CHECK_SECONDS)
             for link, received_at in list(self.last_received.items()):
                 if loop.time() - received_at > IDLE_TIMEOUT_SECONDS and not link.closing:
-                    link.send(0, Error(f"nothing received for {IDLE_TIMEOUT_SECONDS:g} s; send heartbeats or requests"))
+                    link.send(
+                        0, Error(f"nothing came for {IDLE_TIMEOUT_SECONDS:g} s; legal: a heartbeat or a question")
+                    )
                     link.close()
